--- a/include/cassia/gateway/caller_identity.h
+++ b/include/cassia/gateway/caller_identity.h
@@ -1,7 +1,7 @@
 /// Which team sends a request, by its key.
 #pragma once
 
-#include "cassia/gateway/field_names.h"
+#include "cassia/gateway/header_names.h"
 #include "cassia/net/raw_http.h"
 #include "cassia/routes/table.h"
 #include "cassia/teams/team_table.h"
--- a/include/cassia/gateway/job_service.h
+++ b/include/cassia/gateway/job_service.h
@@ -3,7 +3,7 @@
 #pragma once
 
 #include "cassia/base/ids.h"
-#include "cassia/gateway/fleet_link.h"
+#include "cassia/gateway/cluster_client.h"
 #include "cassia/schema/messages.pb.h"
 
 #include <cstdint>
--- a/include/cassia/gateway/online_call.h
+++ b/include/cassia/gateway/online_call.h
@@ -3,8 +3,8 @@
 
 #include "cassia/base/clock.h"
 #include "cassia/base/ids.h"
-#include "cassia/gateway/event_splitter.h"
-#include "cassia/gateway/run_moves.h"
+#include "cassia/gateway/run_migration.h"
+#include "cassia/gateway/sse_parser.h"
 #include "cassia/net/raw_http.h"
 #include "cassia/policy/quota_gate.h"
 #include "cassia/policy/slot_table.h"
--- a/include/cassia/gateway/request_admission.h
+++ b/include/cassia/gateway/request_admission.h
@@ -4,9 +4,9 @@
 #include "cassia/base/clock.h"
 #include "cassia/base/ids.h"
 #include "cassia/base/metrics.h"
-#include "cassia/gateway/field_names.h"
+#include "cassia/gateway/header_names.h"
 #include "cassia/gateway/online_call.h"
-#include "cassia/gateway/quota_link.h"
+#include "cassia/gateway/quota_coordinator.h"
 #include "cassia/net/raw_http.h"
 
 #include <cstdint>
--- a/include/cassia/gateway/service.h
+++ b/include/cassia/gateway/service.h
@@ -3,9 +3,9 @@
 
 #include "cassia/base/metrics.h"
 #include "cassia/gateway/caller_identity.h"
+#include "cassia/gateway/cluster_client.h"
 #include "cassia/gateway/dispatcher.h"
-#include "cassia/gateway/field_names.h"
-#include "cassia/gateway/fleet_link.h"
+#include "cassia/gateway/header_names.h"
 #include "cassia/gateway/item_runner.h"
 #include "cassia/gateway/job_service.h"
 #include "cassia/gateway/request_admission.h"
--- a/lib/gateway/fleet_link.cpp
+++ b/lib/gateway/cluster_client.cpp
@@ -1,4 +1,4 @@
-#include "cassia/gateway/fleet_link.h"
+#include "cassia/gateway/cluster_client.h"
 
 #include "cassia/base/log.h"
 #include "cassia/net/task.h"
--- a/lib/gateway/held_item.h
+++ b/lib/gateway/held_item.h
@@ -3,8 +3,8 @@
 
 #include "cassia/base/clock.h"
 #include "cassia/base/ids.h"
-#include "cassia/gateway/event_splitter.h"
 #include "cassia/gateway/item_runner.h"
+#include "cassia/gateway/sse_parser.h"
 #include "cassia/schema/messages.pb.h"
 
 #include <set>
--- a/lib/gateway/quota_link.cpp
+++ b/lib/gateway/quota_coordinator.cpp
@@ -1,4 +1,4 @@
-#include "cassia/gateway/quota_link.h"
+#include "cassia/gateway/quota_coordinator.h"
 
 #include <utility>
 
--- a/lib/gateway/event_splitter.cpp
+++ b/lib/gateway/sse_parser.cpp
@@ -1,4 +1,4 @@
-#include "cassia/gateway/event_splitter.h"
+#include "cassia/gateway/sse_parser.h"
 
 #include <algorithm>
 #include <charconv>
--- a/lib/gateway/usage_link.cpp
+++ b/lib/gateway/usage_coordinator.cpp
@@ -1,4 +1,4 @@
-#include "cassia/gateway/usage_link.h"
+#include "cassia/gateway/usage_coordinator.h"
 
 #include "cassia/base/log.h"
 
--- a/unittests/gateway/event_splitter_test.cpp
+++ b/unittests/gateway/sse_parser_test.cpp
@@ -1,6 +1,6 @@
 // Whole events out of bytes that come in any pieces.
 
-#include "cassia/gateway/event_splitter.h"
+#include "cassia/gateway/sse_parser.h"
 
 #include <catch2/catch.hpp>
 
