--- a/include/cassia/gateway/caller_identity.h
+++ b/include/cassia/gateway/caller_identity.h
@@ -17,13 +17,13 @@
 
 /// The caller of a request. \p route may be null: then the request is for no one route.
 caller_identity identify_caller(const routes::table& table, const schema::route* route,
-                                const net::http_fields& fields, const field_names& names);
+                                const net::http_fields& fields, const header_names& names);
 
 /// Replaces what the fields say of the caller by the team's name, for endpoints.
 /// \param team empty for none.
-void write_team(net::http_fields& fields, const field_names& names, const std::string& team);
+void write_team(net::http_fields& fields, const header_names& names, const std::string& team);
 
 /// Enough of the key's digest to tell it from others in a log; empty without a key.
-std::string key_label(const net::http_fields& fields, const field_names& names);
+std::string key_label(const net::http_fields& fields, const header_names& names);
 
 } // namespace cassia::gateway
--- a/include/cassia/gateway/dispatcher.h
+++ b/include/cassia/gateway/dispatcher.h
@@ -41,12 +41,12 @@
 class dispatcher {
 public:
     dispatcher(net::raw_server& server, net::raw_client& client, policy::slot_table& slots,
-               metrics& counts, field_names names, dispatcher_hooks hooks);
+               metrics& counts, header_names names, dispatcher_hooks hooks);
     ~dispatcher();
 
     void accept(admitted_request request);
     /// How runs are moved; without it none is.
-    void set_moves(run_move_calls moves) { moves_ = std::move(moves); }
+    void set_moves(migration_protocol moves) { moves_ = std::move(moves); }
     /// The caller has left.
     void abandon(exchange_id id);
     /// Slots may have come free.
@@ -101,9 +101,9 @@
     net::raw_client& client_;
     policy::slot_table& slots_;
     metrics& metrics_;
-    field_names names_;
+    header_names names_;
     dispatcher_hooks hooks_;
-    run_move_calls moves_;
+    migration_protocol moves_;
     std::map<exchange_id, std::unique_ptr<online_call>> calls_;
     policy::request_queue queue_;
     std::map<service_id, policy::stream_pace> paces_;
--- a/include/cassia/gateway/header_names.h
+++ b/include/cassia/gateway/header_names.h
@@ -6,7 +6,7 @@
 
 namespace cassia::gateway {
 
-struct field_names {
+struct header_names {
     std::string request_id = "Cassia-Request-Id";
     /// Milliseconds that the caller still waits; passed on with what is left.
     std::string deadline = "Cassia-Deadline";
--- a/include/cassia/gateway/item_runner.h
+++ b/include/cassia/gateway/item_runner.h
@@ -37,7 +37,7 @@
 class item_runner {
 public:
     item_runner(net::raw_client& client, policy::slot_table& slots, metrics& counts,
-                field_names names, std::uint32_t window, item_runner_hooks hooks);
+                header_names names, std::uint32_t window, item_runner_hooks hooks);
     ~item_runner();
 
     void set_routes(std::shared_ptr<const routes::table> table);
@@ -81,7 +81,7 @@
     net::raw_client& client_;
     policy::slot_table& slots_;
     metrics& metrics_;
-    field_names names_;
+    header_names names_;
     std::uint32_t window_;
     item_runner_hooks hooks_;
     std::shared_ptr<const routes::table> table_;
--- a/include/cassia/gateway/job_service.h
+++ b/include/cassia/gateway/job_service.h
@@ -34,7 +34,7 @@
                       done_function done);
     void read_item(const job_id& job, const team_id& team, const std::string& item,
                    done_function done);
-    void end(const job_id& job, const team_id& team, done_function done);
+    void cancel(const job_id& job, const team_id& team, done_function done);
 
 private:
     void ask(const job_id& job, schema::keeper_request request, done_function done);
--- a/include/cassia/gateway/online_call.h
+++ b/include/cassia/gateway/online_call.h
@@ -82,7 +82,7 @@
     instant last_event_at{};
     microseconds longest_pause{0}; ///< between two events
     run_move move;
-    run_copy copy; ///< the next attempt goes on from it
+    kv_cache_copy copy; ///< the next attempt goes on from it
 
     std::uint32_t priority() const {
         return team != nullptr && team->priority ? *team->priority : route->priority();
--- a/include/cassia/gateway/request_admission.h
+++ b/include/cassia/gateway/request_admission.h
@@ -23,7 +23,8 @@
 
 class request_admission {
 public:
-    request_admission(quota_link& quota, metrics& counts, field_names names, admission_hooks hooks);
+    request_admission(quota_link& quota, metrics& counts, header_names names,
+                      admission_hooks hooks);
 
     /// Decides on a request of an accepted caller, at once or when the owner of the quota answers.
     void offer(admitted_request request);
@@ -39,7 +40,7 @@
 
     quota_link& quota_;
     metrics& metrics_;
-    field_names names_;
+    header_names names_;
     admission_hooks hooks_;
     std::map<std::uint64_t, admitted_request> asked_; ///< by the number of the ask
 };
--- a/include/cassia/gateway/service.h
+++ b/include/cassia/gateway/service.h
@@ -27,18 +27,18 @@
 struct service_hooks {
     /// Offered each request before it is matched to a route, once there is a table of routes.
     /// \returns whether it was taken.
-    std::function<bool(exchange_id, const net::raw_request&)> take_request;
+    std::function<bool(exchange_id, const net::raw_request&)> intercept_request;
     /// A request of a batch route, by a team unless the route needs no key.
     std::function<void(exchange_id, const net::raw_request&, const schema::route&,
                        const teams::team*)>
-        on_batch;
+        on_batch_request;
     /// How endpoints are asked to hand runs over; may be empty.
-    run_move_calls moves;
+    migration_protocol migration;
 };
 
 class service {
 public:
-    service(schema::gateway_settings settings, field_names names, service_hooks hooks);
+    service(schema::gateway_settings settings, header_names names, service_hooks hooks);
     ~service();
 
     /// Opens the sockets. \returns an empty string or what went wrong.
@@ -56,8 +56,8 @@
     /// Whether the host has a route for jobs that needs no key.
     bool serves_jobs_without_key(const std::string& host) const;
     const schema::gateway_settings& settings() const { return settings_; }
-    const field_names& names() const { return names_; }
-    bool is_leaving() const { return leaving_; }
+    const header_names& names() const { return names_; }
+    bool is_shutting_down() const { return leaving_; }
 
 private:
     void on_request(exchange_id id, net::raw_request request);
@@ -85,7 +85,7 @@
     std::string dump() const;
 
     schema::gateway_settings settings_;
-    field_names names_;
+    header_names names_;
     service_hooks hooks_;
     net::task task_;
     metrics metrics_;
--- a/lib/gateway/caller_identity.cpp
+++ b/lib/gateway/caller_identity.cpp
@@ -5,7 +5,7 @@
 namespace cassia::gateway {
 
 // A request with several keys is of no team: which one another program would go by isn't certain.
-static std::string_view only_key(const net::http_fields& fields, const field_names& names) {
+static std::string_view only_key(const net::http_fields& fields, const header_names& names) {
     const auto keys = std::count_if(fields.all().begin(), fields.all().end(),
                                     [&names](const net::http_field& one) {
                                         return net::equal_ignoring_case(one.name, names.key);
@@ -14,7 +14,7 @@
 }
 
 caller_identity identify_caller(const routes::table& table, const schema::route* route,
-                                const net::http_fields& fields, const field_names& names) {
+                                const net::http_fields& fields, const header_names& names) {
     if (!table.needs_keys() || (route != nullptr && route->needs_no_key()))
         return {true, nullptr};
     const std::string_view key = only_key(fields, names);
@@ -22,14 +22,14 @@
     return {team != nullptr, team};
 }
 
-void write_team(net::http_fields& fields, const field_names& names, const std::string& team) {
+void write_team(net::http_fields& fields, const header_names& names, const std::string& team) {
     fields.erase(names.key);
     fields.erase(names.team);
     if (!team.empty())
         fields.add(names.team, team);
 }
 
-std::string key_label(const net::http_fields& fields, const field_names& names) {
+std::string key_label(const net::http_fields& fields, const header_names& names) {
     const std::string_view key = only_key(fields, names);
     return key.empty() ? "" : teams::short_form(teams::digest_of(key));
 }
--- a/lib/gateway/dispatch_migration.cpp
+++ b/lib/gateway/dispatch_migration.cpp
@@ -14,7 +14,7 @@
 bool dispatcher::may_move_run(const online_call& call) const {
     // An answer that ends with its connection looks whole when the endpoint closes it to hand over.
     const bool ends_visibly = call.head.framing != net::body_framing::until_close;
-    if (!moves_.request || !call.is_stream() || call.move.tried || !ends_visibly)
+    if (!moves_.build_request || !call.is_stream() || call.move.tried || !ends_visibly)
         return false;
     const schema::routed_service* service = call.table->service(call.service.str());
     return service != nullptr && service->moves_runs();
@@ -47,7 +47,7 @@
     hooks.on_failure = [this, id](const net::raw_failure&) { on_move_answer(id); };
     net::raw_call out;
     out.to = call.address;
-    out.request = moves_.request(call.request_id, place->address);
+    out.request = moves_.build_request(call.request_id, place->address);
     call.move.asked = client_.start(std::move(out), std::move(hooks));
     metrics_.count("run_moves_asked");
 }
@@ -62,7 +62,7 @@
     const run_move move = std::exchange(call.move, run_move{});
     call.move.tried = true;
     slots_.release(move.to.endpoint, policy::work_kind::online);
-    const std::optional<std::string> handle = moves_.handle(move.body);
+    const std::optional<std::string> handle = moves_.read_handle(move.body);
     log_info("run_moved")
         .with("request", call.request_id)
         .with("endpoint", call.endpoint.str())
@@ -81,11 +81,11 @@
         next.endpoint = call.endpoint;
         next.address = call.address;
     }
-    const run_copy copy{call.address, *handle};
+    const kv_cache_copy copy{call.address, *handle};
     drop_attempt(call);
     call.copy = copy;
     send(call, next);
-    call.copy = run_copy{};
+    call.copy = kv_cache_copy{};
 }
 
 // \returns whether the end of the attempt is left to the answer of the move under way.
--- a/lib/gateway/dispatcher.cpp
+++ b/lib/gateway/dispatcher.cpp
@@ -29,7 +29,7 @@
 } // namespace
 
 dispatcher::dispatcher(net::raw_server& server, net::raw_client& client, policy::slot_table& slots,
-                       metrics& counts, field_names names, dispatcher_hooks hooks)
+                       metrics& counts, header_names names, dispatcher_hooks hooks)
     : server_(server), client_(client), slots_(slots), metrics_(counts), names_(std::move(names)),
       hooks_(std::move(hooks)), random_(random_bits()) {}
 
@@ -113,7 +113,7 @@
     if (call.is_stream() && call.last_event > 0)
         request.fields.set(names_.last_event, std::to_string(call.last_event));
     if (!call.copy.handle.empty())
-        moves_.resume(request, call.copy);
+        moves_.resume_from_copy(request, call.copy);
     return request;
 }
 
--- a/lib/gateway/item_runner.cpp
+++ b/lib/gateway/item_runner.cpp
@@ -30,7 +30,7 @@
 } // namespace
 
 item_runner::item_runner(net::raw_client& client, policy::slot_table& slots, metrics& counts,
-                         field_names names, std::uint32_t window, item_runner_hooks hooks)
+                         header_names names, std::uint32_t window, item_runner_hooks hooks)
     : client_(client), slots_(slots), metrics_(counts), names_(std::move(names)), window_(window),
       hooks_(std::move(hooks)), random_(random_bits()) {}
 
--- a/lib/gateway/job_service.cpp
+++ b/lib/gateway/job_service.cpp
@@ -90,12 +90,12 @@
     ask(job, std::move(request), std::move(done));
 }
 
-void job_service::end(const job_id& job, const team_id& team, done_function done) {
+void job_service::cancel(const job_id& job, const team_id& team, done_function done) {
     schema::keeper_request request;
-    schema::job_cancel* cancel = request.mutable_work()->mutable_cancel();
-    cancel->set_job(job.str());
-    cancel->set_team(team.str());
-    cancel->set_at(to_unix_ms(wall_now()));
+    schema::job_cancel* cancellation = request.mutable_work()->mutable_cancel();
+    cancellation->set_job(job.str());
+    cancellation->set_team(team.str());
+    cancellation->set_at(to_unix_ms(wall_now()));
     ask(job, std::move(request), std::move(done));
 }
 
--- a/lib/gateway/request_admission.cpp
+++ b/lib/gateway/request_admission.cpp
@@ -13,7 +13,7 @@
 constexpr int status_too_many = 429;
 } // namespace
 
-request_admission::request_admission(quota_link& quota, metrics& counts, field_names names,
+request_admission::request_admission(quota_link& quota, metrics& counts, header_names names,
                                      admission_hooks hooks)
     : quota_(quota), metrics_(counts), names_(std::move(names)), hooks_(std::move(hooks)) {}
 
--- a/lib/gateway/service.cpp
+++ b/lib/gateway/service.cpp
@@ -35,7 +35,7 @@
 constexpr int ms_per_s = 1000;
 } // namespace
 
-service::service(schema::gateway_settings settings, field_names names, service_hooks hooks)
+service::service(schema::gateway_settings settings, header_names names, service_hooks hooks)
     : settings_(std::move(settings)), names_(std::move(names)), hooks_(std::move(hooks)),
       task_("gateway"), slots_(zone_id(settings_.zone())), random_(random_bits()) {
     net::raw_server_hooks served;
@@ -64,7 +64,7 @@
     };
     dispatcher_ =
         std::make_unique<dispatcher>(*server_, *client_, slots_, metrics_, names_, dispatch);
-    dispatcher_->set_moves(hooks_.moves);
+    dispatcher_->set_moves(hooks_.migration);
     item_runner_hooks items;
     items.lease = [this](const std::string& route, std::uint32_t limit,
                          const item_runner_hooks::lease_done& done) { lease(route, limit, done); };
@@ -182,7 +182,7 @@
         take_early(id, std::move(request));
         return;
     }
-    if (hooks_.take_request(id, request))
+    if (hooks_.intercept_request(id, request))
         return;
     const schema::route* route =
         routes_->match(request.fields.find("Host"), net::path_of(request.target));
@@ -200,7 +200,7 @@
         return;
     }
     if (route->kind() == schema::route::batch) {
-        hooks_.on_batch(id, request, *route, caller.team);
+        hooks_.on_batch_request(id, request, *route, caller.team);
         return;
     }
     admission_->offer({id, std::move(request), routes_, route, caller.team, {}, monotonic_now()});
--- a/unittests/gateway/caller_identity_test.cpp
+++ b/unittests/gateway/caller_identity_test.cpp
@@ -36,7 +36,7 @@
                       const net::http_fields& fields) {
     const std::shared_ptr<const routes::table> table = routes::table::compile(source).value();
     const caller_identity caller =
-        identify_caller(*table, table->match("shop.example", path), fields, field_names());
+        identify_caller(*table, table->match("shop.example", path), fields, header_names());
     if (!caller.accepted)
         return "rejected";
     return caller.team == nullptr ? "anybody" : caller.team->id.str();
@@ -84,17 +84,17 @@
     fields.add("CASSIA-TEAM", "forged");
     fields.add("Cassia-Team", "forged too");
     fields.add("Other", "kept");
-    write_team(fields, field_names(), "a");
+    write_team(fields, header_names(), "a");
     CHECK(fields.find("Cassia-Team") == "a");
     CHECK_FALSE(fields.has("Cassia-Key"));
     CHECK(fields.find("Other") == "kept");
     CHECK(fields.all().size() == 2);
-    write_team(fields, field_names(), "");
+    write_team(fields, header_names(), "");
     CHECK_FALSE(fields.has("Cassia-Team"));
 }
 
 TEST_CASE("a log tells keys apart and doesn't tell them", "[gateway]") {
-    CHECK(key_label(with_key("k1"), field_names()).size() == 8);
-    CHECK(key_label(with_key("k1"), field_names()) != key_label(with_key("k2"), field_names()));
-    CHECK(key_label({}, field_names()).empty());
+    CHECK(key_label(with_key("k1"), header_names()).size() == 8);
+    CHECK(key_label(with_key("k1"), header_names()) != key_label(with_key("k2"), header_names()));
+    CHECK(key_label({}, header_names()).empty());
 }
