--- a/include/cassia/gateway/caller_identity.h
+++ b/include/cassia/gateway/caller_identity.h
@@ -1,4 +1,4 @@
-/// Which team sends a request, by its key.
+/// Identifies the team that sends a request by its API key.
 #pragma once
 
 #include "cassia/gateway/header_names.h"
@@ -11,19 +11,20 @@
 namespace cassia::gateway {
 
 struct caller_identity {
-    bool accepted = false;             ///< false: the request needs a key that a team has
-    const teams::team* team = nullptr; ///< belongs to the table; none where no key is needed
+    bool accepted = false;             ///< false: a key is required, and no team has the one sent
+    const teams::team* team = nullptr; ///< owned by the routing table; null if no key is required
 };
 
-/// The caller of a request. \p route may be null: then the request is for no one route.
+/// Identifies the caller of a request. \p route is null for requests that belong to no single
+/// route; these require a key if the table requires any.
 caller_identity identify_caller(const routes::table& table, const schema::route* route,
                                 const net::http_fields& fields, const header_names& names);
 
-/// Replaces what the fields say of the caller by the team's name, for endpoints.
-/// \param team empty for none.
-void write_team(net::http_fields& fields, const header_names& names, const std::string& team);
+/// Replaces the caller's key, and any team header that the caller sent, by the team's name.
+/// \param team no header is added if empty.
+void set_team_header(net::http_fields& fields, const header_names& names, const std::string& team);
 
-/// Enough of the key's digest to tell it from others in a log; empty without a key.
-std::string key_label(const net::http_fields& fields, const header_names& names);
+/// A prefix of the key's digest that tells keys apart in logs; empty without exactly one key.
+std::string short_key_digest(const net::http_fields& fields, const header_names& names);
 
 } // namespace cassia::gateway
--- a/include/cassia/gateway/dispatcher.h
+++ b/include/cassia/gateway/dispatcher.h
@@ -1,4 +1,5 @@
-/// Online requests on their way: matched to a route, placed at an endpoint, passed back.
+/// Forwards online requests to endpoints and their responses to callers, with queueing, retries,
+/// resumption of streams and migration of runs.
 #pragma once
 
 #include "cassia/base/clock.h"
@@ -26,17 +27,18 @@
 namespace cassia::gateway {
 
 struct dispatcher_hooks {
-    /// A batch item must give up its slot; of another gateway if `holder` isn't empty.
-    std::function<void(const entry_id& holder, const endpoint_id&)> yield_slot;
-    /// A request has not run and never will.
-    std::function<void(const policy::quota_grant&)> give_back;
+    /// Asks a batch item to yield its slot. `holder` is the gateway that runs the item, empty for
+    /// this one.
+    std::function<void(const entry_id& holder, const endpoint_id&)> request_yield;
+    /// Refunds the quota of a request that has not run and never will.
+    std::function<void(const policy::quota_grant&)> refund_quota;
 };
 
 constexpr int status_bad_gateway = 502;
 
-/// Longest time that an event waits for others to go with it. A fraction of the 120 ms that
-/// passing on may take, and two to three events at the pace of a calm endpoint.
-constexpr milliseconds gather_limit(40);
+/// Longest time that an event is held back to be sent together with later ones. This is a fraction
+/// of the 120 ms allowed for forwarding, and two to three events at the pace of an idle endpoint.
+constexpr milliseconds max_event_delay(40);
 
 class dispatcher {
 public:
@@ -44,56 +46,60 @@
                metrics& counts, header_names names, dispatcher_hooks hooks);
     ~dispatcher();
 
-    void accept(admitted_request request);
-    /// How runs are moved; without it none is.
-    void set_moves(migration_protocol moves) { moves_ = std::move(moves); }
-    /// The caller has left.
-    void abandon(exchange_id id);
-    /// Slots may have come free.
-    void serve_waiting();
+    void submit(admitted_request admitted);
+    /// Without a protocol runs don't migrate.
+    void set_migration_protocol(migration_protocol protocol) { migration_ = std::move(protocol); }
+    /// The caller disconnected before its response was complete.
+    void on_caller_gone(exchange_id id);
+    /// Sends queued requests to slots that became free.
+    void dispatch_queued();
     void tick(instant now);
 
-    std::size_t open() const { return calls_.size(); }
-    std::size_t waiting() const { return queue_.size(); }
+    std::size_t open_calls() const { return calls_.size(); }
+    std::size_t queued_calls() const { return queue_.size(); }
 
 private:
     void place(online_call& call);
-    void send(online_call& call, const policy::placement& place);
-    net::raw_request request_for(const online_call& call, const endpoint_id& endpoint) const;
+    void send(online_call& call, const policy::placement& placement);
+    net::raw_request make_upstream_request(const online_call& call,
+                                           const endpoint_id& endpoint) const;
     void on_head(exchange_id id, const net::raw_head& head);
-    void on_piece(exchange_id id, std::string_view bytes);
+    void on_body(exchange_id id, std::string_view bytes);
     void on_end(exchange_id id);
     void on_failure(exchange_id id, const net::raw_failure& failure);
-    bool is_own_answer(const online_call& call, const net::raw_head& head) const;
-    bool pass_events(online_call& call, std::string_view bytes);
-    void begin_answer(online_call& call);
-    void gather(online_call& call, const std::string& event);
-    void flush(online_call& call);
-    void hurry(online_call& call, instant now);
-    bool may_go_on_elsewhere(const online_call& call) const;
-    /// A free slot for a stream that stalled, not at its own endpoint.
+    bool is_response_to(const online_call& call, const net::raw_head& head) const;
+    /// Forwards complete events. \returns false if one is out of order.
+    bool forward_events(online_call& call, std::string_view bytes);
+    void begin_response(online_call& call);
+    void buffer_event(online_call& call, const std::string& event);
+    void flush_events(online_call& call);
+    /// Asks a batch item at the call's endpoint to yield its slot, if that would help the call.
+    void reclaim_slot(online_call& call, instant now);
+    bool may_retry(const online_call& call) const;
+    /// A free slot for a stalled stream at another endpoint than its own.
     std::optional<policy::placement> place_elsewhere(const online_call& call, instant now);
-    void move_stalled(online_call& call, instant now);
-    bool may_move_run(const online_call& call) const;
-    void move_run(online_call& call, instant now);
-    void on_move_answer(exchange_id id);
-    bool ends_by_move(online_call& call);
-    void drop_move(online_call& call);
-    void finish_plain(online_call& call);
+    void resume_elsewhere(online_call& call, instant now);
+    bool may_migrate(const online_call& call) const;
+    void start_migration(online_call& call, instant now);
+    void on_migration_response(exchange_id id);
+    bool defer_end_to_migration(online_call& call);
+    void cancel_migration(online_call& call);
+    void finish_buffered_response(online_call& call);
     /// The attempt certainly did not run.
-    void retry_unrun(online_call& call, const std::string& cause);
+    void retry_not_run(online_call& call, const std::string& cause);
     /// The attempt may have run.
     void retry_or_fail(online_call& call, const std::string& cause);
-    void suspect(const online_call& call, instant now);
-    microseconds stall_limit(const online_call& call);
-    /// Longest time without a byte, after which a run is taken for lost.
-    microseconds silence_limit(const online_call& call) const;
-    void drop_attempt(online_call& call);
-    /// Ends the call with the promise that it has not run.
+    void suspend_endpoint(const online_call& call, instant now);
+    /// Time without an event after which a stream is resumed at another endpoint with a free slot.
+    microseconds stall_timeout(const online_call& call);
+    /// Time without a byte after which an attempt is considered lost.
+    microseconds inactivity_timeout(const online_call& call) const;
+    void cancel_attempt(online_call& call);
+    /// Ends the call with a response that guarantees that the request has not run.
     void refuse(online_call& call, const std::string& cause);
-    /// Ends the call; whether it ran is open.
+    /// Ends the call; the request may have run.
     void fail(online_call& call, int status, const std::string& cause);
-    void check_time(online_call& call, instant now);
+    void check_timeouts(online_call& call, instant now);
     void close(exchange_id id);
     void log_outcome(const online_call& call, int status, const std::string& cause) const;
 
@@ -103,7 +109,7 @@
     metrics& metrics_;
     header_names names_;
     dispatcher_hooks hooks_;
-    migration_protocol moves_;
+    migration_protocol migration_;
     std::map<exchange_id, std::unique_ptr<online_call>> calls_;
     policy::request_queue queue_;
     std::map<service_id, policy::stream_pace> paces_;
--- a/include/cassia/gateway/header_names.h
+++ b/include/cassia/gateway/header_names.h
@@ -1,5 +1,5 @@
-/// Names of the header fields that forwarding reads or sets. They are part of the interface toward
-/// callers and endpoints, so whoever runs a gateway may choose others.
+/// Names of the HTTP header fields that the gateway reads or sets. They are part of its interface
+/// to callers and endpoints, so a deployment may choose others.
 #pragma once
 
 #include <string>
@@ -8,19 +8,19 @@
 
 struct header_names {
     std::string request_id = "Cassia-Request-Id";
-    /// Milliseconds that the caller still waits; passed on with what is left.
+    /// Time in milliseconds that the caller is willing to wait; forwarded with what is left of it.
     std::string deadline = "Cassia-Deadline";
-    /// The endpoint that must serve the request; any other refuses it.
+    /// Id of the endpoint that the request is meant for; any other endpoint refuses it.
     std::string expected_endpoint = "Cassia-Expect-Endpoint";
-    /// An endpoint's proof that an answer is its own.
+    /// Set by endpoints on their responses; shows that a response comes from an endpoint.
     std::string stamp = "Cassia-Stamp";
-    /// An endpoint's word that it did not run the request.
+    /// Set by an endpoint that did not run the request.
     std::string not_run = "Cassia-Not-Run";
-    /// Last event that the caller of a stream has; the endpoint goes on behind it.
+    /// Id of the last event of a stream that the caller has; the endpoint resumes after it.
     std::string last_event = "Last-Event-Id";
-    /// The caller's key; never passed on.
+    /// The caller's API key; never forwarded.
     std::string key = "Cassia-Key";
-    /// The team of a request, toward endpoints.
+    /// Name of the caller's team; set on requests to endpoints.
     std::string team = "Cassia-Team";
 };
 
--- a/include/cassia/gateway/online_call.h
+++ b/include/cassia/gateway/online_call.h
@@ -1,4 +1,4 @@
-/// One online request on its way.
+/// State of one online request that the gateway serves.
 #pragma once
 
 #include "cassia/base/clock.h"
@@ -17,78 +17,78 @@
 namespace cassia::gateway {
 
 enum class call_phase : std::uint8_t {
-    waiting,   ///< for a slot
-    sent,      ///< to an endpoint, nothing passed back yet
-    answering, ///< part of the answer is with the caller
+    queued,     ///< waits for a slot
+    sent,       ///< sent to an endpoint, nothing forwarded to the caller yet
+    responding, ///< part of the response was forwarded to the caller
 };
 
-/// The move of a run to another endpoint; see run_moves.h.
-struct run_move {
-    bool tried = false;
-    call_id asked; ///< the question to the endpoint, while it is open
-    policy::placement to;
+/// Migration of a run to another endpoint; see run_migration.h.
+struct run_migration {
+    bool attempted = false;
+    call_id pending_call; ///< the migration request, while it is unanswered
+    policy::placement target;
     int status = 0;
     std::string body;
-    bool run_ended = false; ///< the stream of the run ended meanwhile
+    bool stream_ended = false; ///< the run's stream ended before the migration was answered
 };
 
-/// A request that may be forwarded.
+/// A request that was matched to a route and whose caller was identified.
 struct admitted_request {
     exchange_id id;
     net::raw_request request;
-    std::shared_ptr<const routes::table> table; ///< keeps `route` and `team` alive
+    std::shared_ptr<const routes::table> table; ///< owns `route` and `team`
     const schema::route* route = nullptr;
-    const teams::team* team = nullptr; ///< none where no key is needed
+    const teams::team* team = nullptr; ///< null if the route requires no key
     policy::quota_grant grant;
-    instant arrived{};
+    instant arrived_at{};
 };
 
 struct online_call {
     exchange_id id;
     net::raw_request request;
     std::string request_id;
-    std::shared_ptr<const routes::table> table; ///< keeps `route` and `team` alive
+    std::shared_ptr<const routes::table> table; ///< owns `route` and `team`
     const schema::route* route = nullptr;
     const teams::team* team = nullptr;
-    policy::quota_grant grant; ///< given back if it never runs
+    policy::quota_grant grant; ///< refunded if the request never runs
     service_id service;
-    instant arrived{};
-    instant deadline{};   ///< the final answer is due
-    instant give_up_at{}; ///< a first send later than this is in vain
+    instant arrived_at{};
+    instant deadline{};      ///< the response must be complete by then
+    instant send_deadline{}; ///< sent later than this, the response would come too late
 
-    call_phase phase = call_phase::waiting;
-    std::uint32_t runs = 0; ///< sends that an endpoint may have run
-    std::uint32_t sends = 0;
-    std::set<endpoint_id> avoided; ///< endpoints that failed this request
+    call_phase phase = call_phase::queued;
+    std::uint32_t runs = 0;  ///< sends whose request may have been executed
+    std::uint32_t sends = 0; ///< requests sent to endpoints, including those never executed
+    std::set<endpoint_id> failed_endpoints; ///< those that failed or refused this request
     bool holds_slot = false;
     endpoint_id endpoint;
     http_address address;
-    call_id attempt;
+    call_id upstream_call; ///< the request to the endpoint; none while there is none
     instant first_sent_at{};
-    instant sent_at{};       ///< the attempt under way
-    instant hurried_at{};    ///< when a batch item was last asked to make room for it
-    instant progress_at{};   ///< when the endpoint last sent something
-    instant first_byte_at{}; ///< of the attempt under way
-    instant answer_began{};
+    instant sent_at{};          ///< of the current attempt
+    instant last_reclaim_at{};  ///< when a batch item was last asked to yield its slot for it
+    instant last_progress_at{}; ///< when the endpoint last sent something
+    instant first_byte_at{};    ///< of the current attempt
+    instant response_began_at{};
 
-    bool refused_by_endpoint = false; ///< the answer coming in says that it did not run
-    bool passes_failure = false;      ///< the answer is the endpoint's own failure
-    net::raw_head head;               ///< of the first attempt that began to answer
-    std::string body;                 ///< of an answer that isn't a stream
-    event_splitter events;
-    std::string gathered; ///< events that wait for others to go with them
-    instant gathered_since{};
-    std::uint64_t last_event = 0; ///< passed on to the caller
+    bool refused_by_endpoint = false; ///< the response says that the request was not run
+    bool forwards_error = false;      ///< the response is the endpoint's own error response
+    net::raw_head head;               ///< of the first attempt whose response began
+    std::string body;                 ///< of a response that isn't a stream
+    sse_parser parser;
+    std::string buffered_events; ///< not yet forwarded, to be sent together with later ones
+    instant buffered_since{};
+    std::uint64_t last_event = 0; ///< id of the last event forwarded or buffered
     instant last_event_at{};
     microseconds longest_pause{0}; ///< between two events
-    run_move move;
-    kv_cache_copy copy; ///< the next attempt goes on from it
+    run_migration migration;
+    kv_cache_copy resume_source; ///< set while a request that resumes from a copy is sent
 
     std::uint32_t priority() const {
         return team != nullptr && team->priority ? *team->priority : route->priority();
     }
     bool is_stream() const { return route->kind() == schema::route::stream; }
-    /// Whether it may run again after it may have run.
+    /// Whether the request may be sent again although an endpoint may have run it.
     bool is_repeatable() const {
         return route->kind() == schema::route::repeatable || (is_stream() && route->resumable());
     }
--- a/include/cassia/gateway/run_migration.h
+++ b/include/cassia/gateway/run_migration.h
@@ -1,5 +1,5 @@
-/// Moving a run that is under way to another endpoint, which goes on from a copy of its memory: it
-/// stays one run, so it may be done where nothing may run twice.
+/// Migration of a running request to another endpoint, which continues from a copy of its KV cache.
+/// The request is executed once only, so that even a request that must not be repeated can migrate.
 #pragma once
 
 #include "cassia/base/ids.h"
@@ -11,20 +11,21 @@
 
 namespace cassia::gateway {
 
-/// Where the memory of a run is kept.
+/// Identifies a copy of a run's KV cache.
 struct kv_cache_copy {
-    http_address source; ///< endpoint that the run comes from
-    std::string handle;  ///< its name for the copy; empty if there is none
+    http_address source; ///< endpoint that executed the run so far
+    std::string handle;  ///< that endpoint's name for the copy; empty if there is none
 };
 
-/// How endpoints are asked, in their words. Without `request` nothing is moved.
+/// Encodes and decodes the migration messages of a deployment's endpoints. Without `build_request`
+/// runs don't migrate.
 struct migration_protocol {
-    /// Asks the endpoint that runs a request to stop it, and to copy its memory to another one.
+    /// Builds the request that tells an endpoint to stop a run and to copy its KV cache to `to`.
     std::function<net::raw_request(const std::string& request_id, const http_address& to)>
         build_request;
-    /// Reads the handle out of the answer's body. Nothing: the run wasn't stopped.
+    /// Reads the handle of the copy from the response body; nothing if the run was not stopped.
     std::function<std::optional<std::string>(const std::string& body)> read_handle;
-    /// Changes a request so that it goes on from a copy.
+    /// Changes a request so that the endpoint resumes the run from a copy.
     std::function<void(net::raw_request& request, const kv_cache_copy& copy)> resume_from_copy;
 };
 
--- a/include/cassia/gateway/sse_parser.h
+++ b/include/cassia/gateway/sse_parser.h
@@ -1,4 +1,4 @@
-/// Cuts a stream of server-sent events into whole events. Pure.
+/// Incremental parser for server-sent events. Does no I/O.
 #pragma once
 
 #include <cstdint>
@@ -8,25 +8,25 @@
 
 namespace cassia::gateway {
 
-struct stream_event {
-    std::string bytes;    ///< as they came, with the empty line that ends it
-    std::uint64_t id = 0; ///< 0 if it names none
-    std::string data;     ///< lines of data, joined by line feeds
+struct sse_event {
+    std::string bytes;    ///< as received, including the empty line that ends the event
+    std::uint64_t id = 0; ///< 0 without a numeric id
+    std::string data;     ///< data lines, joined by line feeds
     bool has_data = false;
 };
 
-class event_splitter {
+class sse_parser {
 public:
-    /// Adds bytes. \returns the events that they complete.
-    std::vector<stream_event> feed(std::string_view bytes);
-    /// Whether part of an event has come in.
-    bool has_rest() const { return !rest_.empty(); }
-    /// Forgets the part of an event that has come in: its source is gone.
+    /// Adds received bytes. \returns the events that they complete.
+    std::vector<sse_event> feed(std::string_view bytes);
+    /// Whether the last event received is incomplete.
+    bool has_partial_event() const { return !buffer_.empty(); }
+    /// Discards an incomplete event, so that the parser can read another stream.
     void reset();
 
 private:
-    std::string rest_;
-    std::size_t searched_ = 0; ///< no event ends before this place
+    std::string buffer_;
+    std::size_t scan_from_ = 0; ///< no event ends before this offset
 };
 
 } // namespace cassia::gateway
--- a/lib/gateway/caller_identity.cpp
+++ b/lib/gateway/caller_identity.cpp
@@ -4,33 +4,34 @@
 
 namespace cassia::gateway {
 
-// A request with several keys is of no team: which one another program would go by isn't certain.
-static std::string_view only_key(const net::http_fields& fields, const header_names& names) {
-    const auto keys = std::count_if(fields.all().begin(), fields.all().end(),
-                                    [&names](const net::http_field& one) {
-                                        return net::equal_ignoring_case(one.name, names.key);
-                                    });
-    return keys == 1 ? fields.find(names.key) : std::string_view();
+// A request with several keys counts as one without a key: another program might use another one of
+// them.
+static std::string_view unique_key(const net::http_fields& fields, const header_names& names) {
+    const auto key_count = std::count_if(fields.all().begin(), fields.all().end(),
+                                         [&names](const net::http_field& field) {
+                                             return net::equal_ignoring_case(field.name, names.key);
+                                         });
+    return key_count == 1 ? fields.find(names.key) : std::string_view();
 }
 
 caller_identity identify_caller(const routes::table& table, const schema::route* route,
                                 const net::http_fields& fields, const header_names& names) {
     if (!table.needs_keys() || (route != nullptr && route->needs_no_key()))
         return {true, nullptr};
-    const std::string_view key = only_key(fields, names);
+    const std::string_view key = unique_key(fields, names);
     const teams::team* team = key.empty() ? nullptr : table.teams().find_by_key(key);
     return {team != nullptr, team};
 }
 
-void write_team(net::http_fields& fields, const header_names& names, const std::string& team) {
+void set_team_header(net::http_fields& fields, const header_names& names, const std::string& team) {
     fields.erase(names.key);
     fields.erase(names.team);
     if (!team.empty())
         fields.add(names.team, team);
 }
 
-std::string key_label(const net::http_fields& fields, const header_names& names) {
-    const std::string_view key = only_key(fields, names);
+std::string short_key_digest(const net::http_fields& fields, const header_names& names) {
+    const std::string_view key = unique_key(fields, names);
     return key.empty() ? "" : teams::short_form(teams::digest_of(key));
 }
 
--- a/lib/gateway/dispatch_migration.cpp
+++ b/lib/gateway/dispatch_migration.cpp
@@ -1,4 +1,4 @@
-// Runs that may not be repeated and whose events stopped coming go on at another endpoint.
+// Migration of stalled runs that must not be repeated to another endpoint.
 
 #include "cassia/base/log.h"
 #include "cassia/gateway/dispatcher.h"
@@ -11,100 +11,104 @@
 constexpr int status_ok = 200;
 } // namespace
 
-bool dispatcher::may_move_run(const online_call& call) const {
-    // An answer that ends with its connection looks whole when the endpoint closes it to hand over.
-    const bool ends_visibly = call.head.framing != net::body_framing::until_close;
-    if (!moves_.build_request || !call.is_stream() || call.move.tried || !ends_visibly)
+bool dispatcher::may_migrate(const online_call& call) const {
+    // A body that ends with its connection would look complete when the endpoint closes the
+    // connection because of the migration.
+    const bool end_is_marked = call.head.framing != net::body_framing::until_close;
+    if (!migration_.build_request || !call.is_stream() || call.migration.attempted ||
+        !end_is_marked)
         return false;
     const schema::routed_service* service = call.table->service(call.service.str());
     return service != nullptr && service->moves_runs();
 }
 
-// A lost packet holds up all events behind it for 200 ms and more. A run that may not be repeated
-// can't be begun elsewhere, but the endpoint, asked over another connection, hands it over.
-void dispatcher::move_run(online_call& call, instant now) {
-    const std::optional<policy::placement> place = place_elsewhere(call, now);
-    if (!place)
+// A lost packet delays all events after it by 200 ms or more. A run that must not be repeated can't
+// be restarted elsewhere, but its endpoint can be told over another connection to migrate it.
+void dispatcher::start_migration(online_call& call, instant now) {
+    const std::optional<policy::placement> placement = place_elsewhere(call, now);
+    if (!placement)
         return;
     slots_.note_stall(call.endpoint, now);
-    slots_.take(place->endpoint, policy::work_kind::online);
-    call.move = run_move{};
-    call.move.tried = true;
-    call.move.to = *place;
+    slots_.take(placement->endpoint, policy::work_kind::online);
+    call.migration = run_migration{};
+    call.migration.attempted = true;
+    call.migration.target = *placement;
     const exchange_id id = call.id;
     net::raw_call_hooks hooks;
     hooks.on_head = [this, id](const net::raw_head& head) {
         auto found = calls_.find(id);
         if (found != calls_.end())
-            found->second->move.status = head.status;
+            found->second->migration.status = head.status;
     };
     hooks.on_piece = [this, id](std::string_view bytes) {
         auto found = calls_.find(id);
         if (found != calls_.end())
-            found->second->move.body.append(bytes);
+            found->second->migration.body.append(bytes);
     };
-    hooks.on_end = [this, id] { on_move_answer(id); };
-    hooks.on_failure = [this, id](const net::raw_failure&) { on_move_answer(id); };
-    net::raw_call out;
-    out.to = call.address;
-    out.request = moves_.build_request(call.request_id, place->address);
-    call.move.asked = client_.start(std::move(out), std::move(hooks));
+    hooks.on_end = [this, id] { on_migration_response(id); };
+    hooks.on_failure = [this, id](const net::raw_failure&) { on_migration_response(id); };
+    net::raw_call outgoing;
+    outgoing.to = call.address;
+    outgoing.request = migration_.build_request(call.request_id, placement->address);
+    call.migration.pending_call = client_.start(std::move(outgoing), std::move(hooks));
     metrics_.count("run_moves_asked");
 }
 
-// With a handle the run has stopped, and goes on from the copy; if there was no room for one, at
-// the endpoint that still has the memory. Without a handle it goes on where it is.
-void dispatcher::on_move_answer(exchange_id id) {
+// With a handle the run was stopped. It resumes at the target, or, if the target had no room for
+// the copy, at the endpoint that ran it so far and still has its KV cache. Without a handle the run
+// continues where it is.
+void dispatcher::on_migration_response(exchange_id id) {
     auto found = calls_.find(id);
     if (found == calls_.end())
         return;
     online_call& call = *found->second;
-    const run_move move = std::exchange(call.move, run_move{});
-    call.move.tried = true;
-    slots_.release(move.to.endpoint, policy::work_kind::online);
-    const std::optional<std::string> handle = moves_.read_handle(move.body);
+    const run_migration migration = std::exchange(call.migration, run_migration{});
+    call.migration.attempted = true;
+    slots_.release(migration.target.endpoint, policy::work_kind::online);
+    const std::optional<std::string> handle = migration_.read_handle(migration.body);
     log_info("run_moved")
         .with("request", call.request_id)
         .with("endpoint", call.endpoint.str())
-        .with("to", move.to.endpoint.str())
+        .with("to", migration.target.endpoint.str())
         .with("behind_event", call.last_event)
-        .with("status", move.status)
+        .with("status", migration.status)
         .with("stopped", handle ? 1 : 0);
     if (!handle) {
-        if (move.run_ended)
+        if (migration.stream_ended)
             fail(call, status_bad_gateway, "run_ended_while_moved");
         return;
     }
     metrics_.count("runs_moved");
-    policy::placement next = move.to;
-    if (move.status != status_ok) {
+    policy::placement next = migration.target;
+    if (migration.status != status_ok) {
         next.endpoint = call.endpoint;
         next.address = call.address;
     }
     const kv_cache_copy copy{call.address, *handle};
-    drop_attempt(call);
-    call.copy = copy;
+    cancel_attempt(call);
+    call.resume_source = copy;
     send(call, next);
-    call.copy = kv_cache_copy{};
+    call.resume_source = kv_cache_copy{};
 }
 
-// \returns whether the end of the attempt is left to the answer of the move under way.
-bool dispatcher::ends_by_move(online_call& call) {
-    if (call.move.asked == call_id())
+// Called when the stream ends. While a migration is pending, its response decides what follows.
+// \returns whether one is pending.
+bool dispatcher::defer_end_to_migration(online_call& call) {
+    if (call.migration.pending_call == call_id())
         return false;
-    client_.cancel(call.attempt);
-    call.attempt = call_id();
-    call.move.run_ended = true;
+    client_.cancel(call.upstream_call);
+    call.upstream_call = call_id();
+    call.migration.stream_ended = true;
     return true;
 }
 
-void dispatcher::drop_move(online_call& call) {
-    if (call.move.asked == call_id())
+void dispatcher::cancel_migration(online_call& call) {
+    if (call.migration.pending_call == call_id())
         return;
-    client_.cancel(call.move.asked);
-    slots_.release(call.move.to.endpoint, policy::work_kind::online);
-    call.move = run_move{};
-    call.move.tried = true;
+    client_.cancel(call.migration.pending_call);
+    slots_.release(call.migration.target.endpoint, policy::work_kind::online);
+    call.migration = run_migration{};
+    call.migration.attempted = true;
 }
 
 } // namespace cassia::gateway
--- a/lib/gateway/dispatcher.cpp
+++ b/lib/gateway/dispatcher.cpp
@@ -1,4 +1,4 @@
-// How a request finds an endpoint, and how it ends.
+// Placement of online requests at endpoints, retries, and how requests end.
 
 #include "cassia/gateway/dispatcher.h"
 
@@ -15,13 +15,14 @@
 namespace cassia::gateway {
 
 namespace {
-// Time from a free slot to the first event on a calm endpoint: connection, prompt, first tokens.
-constexpr milliseconds first_answer_time(60);
-// Sent with less time left than this, a request is cut off before it can be answered.
-constexpr milliseconds least_useful_time(50);
-// Attempts that reached no endpoint cost little, but each takes up to the connection's time limit.
-constexpr std::uint32_t most_sends = 6;
-// Slots come free all the time: after this the caller finds one as likely as any other.
+// Time from sending to the first event at a free slot under light load: connection, prompt
+// processing and the first tokens.
+constexpr milliseconds first_event_time(60);
+// A request sent with less time left than this ends before it can be answered.
+constexpr milliseconds min_remaining_time(50);
+// Attempts that reach no endpoint cost little, but each may take as long as the connect timeout.
+constexpr std::uint32_t max_sends = 6;
+// Slots become free all the time: after this time the caller is as likely to get one as any other.
 constexpr milliseconds retry_after(400);
 constexpr int status_server_error = 500;
 constexpr int status_unavailable = 503;
@@ -35,19 +36,18 @@
 
 dispatcher::~dispatcher() = default;
 
-// Callers of a stream leave after a gap of two seconds, four targets or eight pauses, whichever is
-// longest; a request that starts later than that runs for nobody.
-static milliseconds patience_of(const schema::route& route) {
-    constexpr std::int64_t least_ms = 2000;
+// Callers of a stream disconnect after waiting for two seconds, four times the target or eight
+// times the allowed pause, whichever is longest. A request that starts later would run for nothing.
+static milliseconds caller_patience(const schema::route& route) {
+    constexpr std::int64_t min_ms = 2000;
     constexpr std::int64_t targets = 4;
     constexpr std::int64_t pauses = 8;
-    return milliseconds(
-        std::max({least_ms, targets * route.target_ms(), pauses * route.pause_ms()}));
+    return milliseconds(std::max({min_ms, targets * route.target_ms(), pauses * route.pause_ms()}));
 }
 
-void dispatcher::accept(admitted_request admitted) {
-    std::unique_ptr<online_call> owned = std::make_unique<online_call>();
-    online_call& call = *owned;
+void dispatcher::submit(admitted_request admitted) {
+    std::unique_ptr<online_call> new_call = std::make_unique<online_call>();
+    online_call& call = *new_call;
     const schema::route& route = *admitted.route;
     net::raw_request& request = admitted.request;
     call.id = admitted.id;
@@ -56,41 +56,41 @@
     call.team = admitted.team;
     call.grant = std::move(admitted.grant);
     call.request_id = std::string(request.fields.find(names_.request_id));
-    call.arrived = admitted.arrived;
-    milliseconds limit(route.timeout_ms());
-    if (const std::optional<milliseconds> wish =
+    call.arrived_at = admitted.arrived_at;
+    milliseconds timeout(route.timeout_ms());
+    if (const std::optional<milliseconds> requested =
             net::read_milliseconds(request.fields.find(names_.deadline)))
-        limit = std::min(limit, *wish);
-    call.deadline = call.arrived + limit;
-    call.give_up_at = call.deadline - least_useful_time;
+        timeout = std::min(timeout, *requested);
+    call.deadline = call.arrived_at + timeout;
+    call.send_deadline = call.deadline - min_remaining_time;
     if (call.is_stream())
-        call.give_up_at =
-            std::min(call.give_up_at, call.arrived + patience_of(route) - first_answer_time);
+        call.send_deadline = std::min(call.send_deadline,
+                                      call.arrived_at + caller_patience(route) - first_event_time);
     call.last_event = net::read_number(request.fields.find(names_.last_event)).value_or(0);
-    std::uniform_real_distribution<double> draw(0, 1);
-    call.service = service_id(routes::choose_target(route, draw(random_)));
+    std::uniform_real_distribution<double> uniform(0, 1);
+    call.service = service_id(routes::choose_target(route, uniform(random_)));
     request.fields.erase_hop_by_hop();
     if (call.table->needs_keys())
-        write_team(request.fields, names_, call.team == nullptr ? "" : call.team->id.str());
+        set_team_header(request.fields, names_, call.team == nullptr ? "" : call.team->id.str());
     call.request = std::move(request);
-    calls_[call.id] = std::move(owned);
+    calls_[call.id] = std::move(new_call);
     metrics_.count("requests");
     place(call);
 }
 
 void dispatcher::place(online_call& call) {
     const instant now = monotonic_now();
-    std::uniform_real_distribution<double> draw(0, 1);
-    const double chance = draw(random_);
+    std::uniform_real_distribution<double> uniform(0, 1);
+    const double draw = uniform(random_);
     std::optional<policy::placement> found =
-        slots_.place_online(call.service, call.avoided, now, chance);
-    if (!found && !call.avoided.empty())
-        found = slots_.place_online(call.service, {}, now, chance);
+        slots_.place_online(call.service, call.failed_endpoints, now, draw);
+    if (!found && !call.failed_endpoints.empty())
+        found = slots_.place_online(call.service, {}, now, draw);
     if (found) {
         send(call, *found);
         return;
     }
-    call.phase = call.phase == call_phase::answering ? call.phase : call_phase::waiting;
+    call.phase = call.phase == call_phase::responding ? call.phase : call_phase::queued;
     if (!queue_.has(call.id))
         log_info("request_queued")
             .with("request", call.request_id)
@@ -98,13 +98,13 @@
             .with("waiting", queue_.size())
             .with("slots", slots_.total_slots(call.service, now));
     queue_.add({call.id, call.service, call.team == nullptr ? team_id() : call.team->id,
-                call.priority(), call.arrived,
-                call.arrived + milliseconds(call.route->target_ms()) - first_answer_time,
-                call.give_up_at});
+                call.priority(), call.arrived_at,
+                call.arrived_at + milliseconds(call.route->target_ms()) - first_event_time,
+                call.send_deadline});
 }
 
-net::raw_request dispatcher::request_for(const online_call& call,
-                                         const endpoint_id& endpoint) const {
+net::raw_request dispatcher::make_upstream_request(const online_call& call,
+                                                   const endpoint_id& endpoint) const {
     net::raw_request request = call.request;
     const std::int64_t left_ms =
         std::chrono::duration_cast<milliseconds>(call.deadline - monotonic_now()).count();
@@ -112,115 +112,117 @@
     request.fields.set(names_.expected_endpoint, endpoint.str());
     if (call.is_stream() && call.last_event > 0)
         request.fields.set(names_.last_event, std::to_string(call.last_event));
-    if (!call.copy.handle.empty())
-        moves_.resume_from_copy(request, call.copy);
+    if (!call.resume_source.handle.empty())
+        migration_.resume_from_copy(request, call.resume_source);
     return request;
 }
 
-void dispatcher::send(online_call& call, const policy::placement& place) {
-    if (place.yields)
-        hooks_.yield_slot(*place.yields, place.endpoint);
+void dispatcher::send(online_call& call, const policy::placement& placement) {
+    if (placement.yields)
+        hooks_.request_yield(*placement.yields, placement.endpoint);
     queue_.serve(call.id);
-    slots_.take(place.endpoint, policy::work_kind::online);
+    slots_.take(placement.endpoint, policy::work_kind::online);
     call.holds_slot = true;
-    call.endpoint = place.endpoint;
-    call.address = place.address;
+    call.endpoint = placement.endpoint;
+    call.address = placement.address;
     call.sent_at = monotonic_now();
-    call.progress_at = call.sent_at;
-    call.hurried_at = call.sent_at;
+    call.last_progress_at = call.sent_at;
+    call.last_reclaim_at = call.sent_at;
     call.refused_by_endpoint = false;
-    call.passes_failure = false;
+    call.forwards_error = false;
     call.body.clear();
-    call.events.reset();
+    call.parser.reset();
     ++call.sends;
     ++call.runs;
-    if (call.phase == call_phase::waiting)
+    if (call.phase == call_phase::queued)
         call.phase = call_phase::sent;
     if (call.sends == 1) {
         call.first_sent_at = call.sent_at;
-        metrics_.observe("queued", call.sent_at - call.arrived);
+        metrics_.observe("queued", call.sent_at - call.arrived_at);
     }
     log_info("request_placed")
         .with("request", call.request_id)
-        .with("endpoint", place.endpoint.str())
-        .with("free", place.free)
-        .with("on_trial", place.on_trial ? 1 : 0)
-        .with("yields", place.yields ? "1" : "0")
+        .with("endpoint", placement.endpoint.str())
+        .with("free", placement.free)
+        .with("on_trial", placement.on_trial ? 1 : 0)
+        .with("yields", placement.yields ? "1" : "0")
         .with("send", call.sends)
         .with("behind_event", call.last_event);
     const exchange_id id = call.id;
     net::raw_call_hooks hooks;
     hooks.on_head = [this, id](const net::raw_head& head) { on_head(id, head); };
-    hooks.on_piece = [this, id](std::string_view bytes) { on_piece(id, bytes); };
+    hooks.on_piece = [this, id](std::string_view bytes) { on_body(id, bytes); };
     hooks.on_end = [this, id] { on_end(id); };
     hooks.on_failure = [this, id](const net::raw_failure& failure) { on_failure(id, failure); };
-    net::raw_call out;
-    out.to = place.address;
-    out.request = request_for(call, place.endpoint);
-    call.attempt = client_.start(std::move(out), std::move(hooks));
+    net::raw_call outgoing;
+    outgoing.to = placement.address;
+    outgoing.request = make_upstream_request(call, placement.endpoint);
+    call.upstream_call = client_.start(std::move(outgoing), std::move(hooks));
 }
 
-void dispatcher::serve_waiting() {
+void dispatcher::dispatch_queued() {
     const instant now = monotonic_now();
     for (const service_id& service : queue_.services()) {
         while (const std::optional<exchange_id> next = queue_.next(service, now)) {
             online_call& call = *calls_.at(*next);
-            const std::size_t before = queue_.size();
+            const std::size_t queued_before = queue_.size();
             place(call);
-            if (queue_.size() == before)
+            if (queue_.size() == queued_before)
                 break;
         }
     }
 }
 
-void dispatcher::drop_attempt(online_call& call) {
-    client_.cancel(call.attempt);
-    call.attempt = call_id();
+void dispatcher::cancel_attempt(online_call& call) {
+    client_.cancel(call.upstream_call);
+    call.upstream_call = call_id();
     if (call.holds_slot)
         slots_.release(call.endpoint, policy::work_kind::online);
     call.holds_slot = false;
 }
 
-void dispatcher::suspect(const online_call& call, instant now) {
-    const milliseconds pause = slots_.suspect(call.endpoint, now);
+void dispatcher::suspend_endpoint(const online_call& call, instant now) {
+    const milliseconds suspension = slots_.suspect(call.endpoint, now);
     client_.forget(call.address);
     log_info("endpoint_suspended")
         .with("endpoint", call.endpoint.str())
-        .with("ms", pause.count())
+        .with("ms", suspension.count())
         .with("request", call.request_id);
 }
 
-void dispatcher::retry_unrun(online_call& call, const std::string& cause) {
-    drop_attempt(call);
+void dispatcher::retry_not_run(online_call& call, const std::string& cause) {
+    cancel_attempt(call);
     --call.runs;
-    // Its run was stopped elsewhere and didn't go on here: anything else would be a second one.
+    // An earlier endpoint ran it, and this one, which was to continue that run, did not. Any
+    // further attempt would be a second run.
     if (call.runs > 0 && !call.is_repeatable()) {
         fail(call, status_bad_gateway, cause);
         return;
     }
-    call.avoided.insert(call.endpoint);
+    call.failed_endpoints.insert(call.endpoint);
     metrics_.count("attempts_not_run");
     log_info("attempt_not_run")
         .with("request", call.request_id)
         .with("endpoint", call.endpoint.str())
         .with("cause", cause);
-    const bool in_time = monotonic_now() < call.give_up_at || call.phase == call_phase::answering;
-    if (call.sends < most_sends && in_time) {
+    const bool in_time =
+        monotonic_now() < call.send_deadline || call.phase == call_phase::responding;
+    if (call.sends < max_sends && in_time) {
         place(call);
         return;
     }
-    if (call.runs > 0 || call.phase == call_phase::answering)
+    if (call.runs > 0 || call.phase == call_phase::responding)
         fail(call, status_bad_gateway, cause);
     else
         refuse(call, cause);
 }
 
 void dispatcher::retry_or_fail(online_call& call, const std::string& cause) {
-    drop_attempt(call);
-    call.avoided.insert(call.endpoint);
+    cancel_attempt(call);
+    call.failed_endpoints.insert(call.endpoint);
     metrics_.count("attempts_lost");
     const bool allowed = call.is_repeatable() && call.runs < call.route->max_attempts();
-    if (allowed && monotonic_now() + least_useful_time < call.deadline) {
+    if (allowed && monotonic_now() + min_remaining_time < call.deadline) {
         log_info("request_retried")
             .with("request", call.request_id)
             .with("endpoint", call.endpoint.str())
@@ -248,19 +250,19 @@
     log_outcome(call, status, cause);
     metrics_.count("failed");
     metrics_.count("failed_" + std::to_string(status));
-    const bool began = call.phase == call_phase::answering;
+    const bool response_began = call.phase == call_phase::responding;
     net::raw_head head;
     head.status = status;
     head.fields.add(names_.request_id, call.request_id);
     const exchange_id id = call.id;
     close(id);
-    if (began)
+    if (response_began)
         server_.abort(id);
     else
         server_.respond(id, head, "");
 }
 
-void dispatcher::abandon(exchange_id id) {
+void dispatcher::on_caller_gone(exchange_id id) {
     auto found = calls_.find(id);
     if (found == calls_.end())
         return;
@@ -269,18 +271,18 @@
     close(id);
 }
 
-// Ends the attempt, if there is one, so that the endpoint stops its work.
+// Cancels the attempt, if there is one, so that the endpoint stops working on it.
 void dispatcher::close(exchange_id id) {
     auto found = calls_.find(id);
     if (found == calls_.end())
         return;
-    drop_attempt(*found->second);
-    drop_move(*found->second);
+    cancel_attempt(*found->second);
+    cancel_migration(*found->second);
     if (found->second->runs == 0)
-        hooks_.give_back(found->second->grant);
+        hooks_.refund_quota(found->second->grant);
     queue_.remove(id);
     calls_.erase(found);
-    serve_waiting();
+    dispatch_queued();
 }
 
 void dispatcher::log_outcome(const online_call& call, int status, const std::string& cause) const {
@@ -288,7 +290,8 @@
     const auto ms_since = [](instant from, instant to) {
         return from == instant() ? -1 : std::chrono::duration_cast<milliseconds>(to - from).count();
     };
-    // What callers got no answer to goes before the rest when there is too much to write.
+    // Failures are logged as warnings, which take precedence when there are too many lines to
+    // write.
     const bool failed = status >= status_server_error;
     log_event line(failed ? log_level::warning : log_level::info, "request_ended");
     line.with("request", call.request_id)
@@ -300,10 +303,11 @@
         .with("endpoint", call.endpoint.str())
         .with("sends", call.sends)
         .with("runs", call.runs)
-        .with("queued_ms", ms_since(call.arrived, call.sends == 0 ? now : call.first_sent_at))
-        .with("first_ms",
-              call.answer_began == instant() ? -1 : ms_since(call.arrived, call.answer_began))
-        .with("total_ms", ms_since(call.arrived, now))
+        .with("queued_ms", ms_since(call.arrived_at, call.sends == 0 ? now : call.first_sent_at))
+        .with("first_ms", call.response_began_at == instant()
+                              ? -1
+                              : ms_since(call.arrived_at, call.response_began_at))
+        .with("total_ms", ms_since(call.arrived_at, now))
         .with("events", call.last_event)
         .with("pause_ms", std::chrono::duration_cast<milliseconds>(call.longest_pause).count());
 }
--- a/lib/gateway/held_item.h
+++ b/lib/gateway/held_item.h
@@ -24,7 +24,7 @@
     int status = 0;       ///< of the answer that is coming in
     bool not_run = false; ///< the endpoint says so
 
-    event_splitter events;
+    sse_parser events;
     std::uint64_t last_event = 0;
     std::uint64_t saved_event = 0; ///< last one that the store has
     instant saved_at{};
--- a/lib/gateway/item_responses.cpp
+++ b/lib/gateway/item_responses.cpp
@@ -55,7 +55,7 @@
 }
 
 bool item_runner::keep_events(held_item& item, std::string_view bytes) {
-    for (const stream_event& event : item.events.feed(bytes)) {
+    for (const sse_event& event : item.events.feed(bytes)) {
         if (event.id == 0)
             continue;
         if (event.id != item.last_event + 1)
@@ -78,7 +78,7 @@
         put_back(item, refused_pause, "refused_by_endpoint");
         return;
     }
-    if (item.status == status_ok && !item.events.has_rest() && item.last_event > 0) {
+    if (item.status == status_ok && !item.events.has_partial_event() && item.last_event > 0) {
         end(key, schema::completed, false, "done");
         return;
     }
--- a/lib/gateway/item_runner.cpp
+++ b/lib/gateway/item_runner.cpp
@@ -154,7 +154,7 @@
     for (const schema::header_field& one : source.headers())
         request.fields.add(one.name(), one.value());
     request.fields.erase_hop_by_hop();
-    write_team(request.fields, names_, item.leased.has_team() ? item.leased.team() : "");
+    set_team_header(request.fields, names_, item.leased.has_team() ? item.leased.team() : "");
     request.fields.set(names_.request_id, source.custom_id());
     request.fields.set(names_.expected_endpoint, endpoint.str());
     if (item.last_event > 0)
--- a/lib/gateway/request_admission.cpp
+++ b/lib/gateway/request_admission.cpp
@@ -45,7 +45,7 @@
         return;
     admitted_request request = std::move(found->second);
     asked_.erase(found);
-    metrics_.observe("quota_answer", monotonic_now() - request.arrived);
+    metrics_.observe("quota_answer", monotonic_now() - request.arrived_at);
     if (decision.verdict == policy::quota_verdict::rejected) {
         reject_quota(request, decision.retry_after);
         return;
@@ -68,7 +68,7 @@
     log_warning("request_rejected")
         .with("request", request.fields.find(names_.request_id))
         .with("cause", "unknown_key")
-        .with("key_digest", key_label(request.fields, names_));
+        .with("key_digest", short_key_digest(request.fields, names_));
     net::http_fields fields;
     fields.add(names_.request_id, request.fields.find(names_.request_id));
     hooks_.reject(id, status_unauthorized, fields);
--- a/lib/gateway/service.cpp
+++ b/lib/gateway/service.cpp
@@ -45,7 +45,7 @@
     served.on_gone = [this](exchange_id id) {
         early_.erase(id);
         admission_->abandon(id);
-        dispatcher_->abandon(id);
+        dispatcher_->on_caller_gone(id);
     };
     server_ = std::make_unique<net::raw_server>(task_, net::raw_server_limits(), served);
     net::raw_server_hooks ready;
@@ -56,15 +56,15 @@
     ready_server_ = std::make_unique<net::raw_server>(task_, net::raw_server_limits(), ready);
     client_ = std::make_unique<net::raw_client>(task_, net::ip_of(settings_.peer_address()));
     dispatcher_hooks dispatch;
-    dispatch.yield_slot = [this](const entry_id& holder, const endpoint_id& endpoint) {
+    dispatch.request_yield = [this](const entry_id& holder, const endpoint_id& endpoint) {
         yield_slot(holder, endpoint);
     };
-    dispatch.give_back = [this](const policy::quota_grant& grant) {
+    dispatch.refund_quota = [this](const policy::quota_grant& grant) {
         fleet_->quota().give_back(grant);
     };
     dispatcher_ =
         std::make_unique<dispatcher>(*server_, *client_, slots_, metrics_, names_, dispatch);
-    dispatcher_->set_moves(hooks_.migration);
+    dispatcher_->set_migration_protocol(hooks_.migration);
     item_runner_hooks items;
     items.lease = [this](const std::string& route, std::uint32_t limit,
                          const item_runner_hooks::lease_done& done) { lease(route, limit, done); };
@@ -78,7 +78,7 @@
     };
     fleet.on_endpoints = [this](const std::vector<policy::slot_endpoint>& endpoints) {
         slots_.set_endpoints(endpoints);
-        dispatcher_->serve_waiting();
+        dispatcher_->dispatch_queued();
     };
     fleet.on_uses = [this](const entry_id& entry, policy::use_map uses) {
         slots_.set_others(entry, std::move(uses), monotonic_now());
@@ -94,7 +94,7 @@
     fleet_ = std::make_unique<fleet_link>(task_, settings_, std::move(fleet));
     admission_hooks admission;
     admission.on_admitted = [this](admitted_request request) {
-        dispatcher_->accept(std::move(request));
+        dispatcher_->submit(std::move(request));
     };
     admission.reject = [this](exchange_id id, int status, const net::http_fields& fields) {
         respond(id, status, fields, "");
--- a/lib/gateway/service_status.cpp
+++ b/lib/gateway/service_status.cpp
@@ -37,8 +37,8 @@
     metrics_.set("routes_version", routes_ ? routes_->version() : 0);
     metrics_.set("exchanges", server_->open_exchanges());
     metrics_.set("connections", server_->open_connections());
-    metrics_.set("online_open", dispatcher_->open());
-    metrics_.set("online_waiting", dispatcher_->waiting());
+    metrics_.set("online_open", dispatcher_->open_calls());
+    metrics_.set("online_waiting", dispatcher_->queued_calls());
     metrics_.set("quota_waiting", admission_->waiting());
     metrics_.set("items_held", items_->size());
     metrics_.set("items_running", items_->running());
@@ -57,8 +57,8 @@
     out["leaving"] = leaving_;
     out["exchanges"] = server_->open_exchanges();
     out["connections"] = server_->open_connections();
-    out["online_open"] = dispatcher_->open();
-    out["online_waiting"] = dispatcher_->waiting();
+    out["online_open"] = dispatcher_->open_calls();
+    out["online_waiting"] = dispatcher_->queued_calls();
     out["items_held"] = items_->size();
     out["items_running"] = items_->running();
     out["endpoint_connections_made"] = client_->counts().connections_made;
--- a/lib/gateway/sse_parser.cpp
+++ b/lib/gateway/sse_parser.cpp
@@ -5,29 +5,29 @@
 
 namespace cassia::gateway {
 
-static std::string_view value_of(std::string_view line) {
+static std::string_view field_value(std::string_view line) {
     std::string_view value = line.substr(line.find(':') + 1);
     if (!value.empty() && value.front() == ' ')
         value.remove_prefix(1);
     return value;
 }
 
-static void read_line(std::string_view line, stream_event& event) {
+static void parse_line(std::string_view line, sse_event& event) {
     const std::string_view name = line.substr(0, line.find(':'));
     if (name == "id") {
-        const std::string_view text = value_of(line);
+        const std::string_view text = field_value(line);
         std::from_chars(text.data(), text.data() + text.size(), event.id);
     }
     if (name == "data") {
         if (event.has_data)
             event.data.push_back('\n');
-        event.data.append(value_of(line));
+        event.data.append(field_value(line));
         event.has_data = true;
     }
 }
 
-static stream_event read_event(std::string_view bytes) {
-    stream_event event;
+static sse_event parse_event(std::string_view bytes) {
+    sse_event event;
     event.bytes = std::string(bytes);
     while (!bytes.empty()) {
         const std::size_t end = std::min(bytes.find('\n'), bytes.size());
@@ -36,13 +36,14 @@
         if (!line.empty() && line.back() == '\r')
             line.remove_suffix(1);
         if (!line.empty())
-            read_line(line, event);
+            parse_line(line, event);
     }
     return event;
 }
 
-// An event ends with an empty line, which follows a line feed at once or behind a carriage return.
-static std::size_t end_of_event(std::string_view text, std::size_t from) {
+// An event ends with an empty line: two line feeds, with or without a carriage return between.
+// \returns the offset after the empty line.
+static std::size_t find_event_end(std::string_view text, std::size_t from) {
     for (std::size_t i = text.find('\n', from); i != std::string_view::npos;
          i = text.find('\n', i + 1)) {
         const std::string_view rest = text.substr(i + 1);
@@ -54,28 +55,28 @@
     return std::string_view::npos;
 }
 
-std::vector<stream_event> event_splitter::feed(std::string_view bytes) {
-    rest_.append(bytes);
-    std::vector<stream_event> events;
+std::vector<sse_event> sse_parser::feed(std::string_view bytes) {
+    buffer_.append(bytes);
+    std::vector<sse_event> events;
     std::size_t begin = 0;
-    std::size_t from = searched_;
+    std::size_t from = scan_from_;
     for (;;) {
-        const std::size_t end = end_of_event(rest_, from);
+        const std::size_t end = find_event_end(buffer_, from);
         if (end == std::string_view::npos)
             break;
-        events.push_back(read_event(std::string_view(rest_).substr(begin, end - begin)));
+        events.push_back(parse_event(std::string_view(buffer_).substr(begin, end - begin)));
         begin = end;
         from = end;
     }
-    rest_.erase(0, begin);
-    // The line feed that begins an event's end may be among the last two bytes.
-    searched_ = rest_.size() < 2 ? 0 : rest_.size() - 2;
+    buffer_.erase(0, begin);
+    // The line feed before the empty line may be among the last two bytes.
+    scan_from_ = buffer_.size() < 2 ? 0 : buffer_.size() - 2;
     return events;
 }
 
-void event_splitter::reset() {
-    rest_.clear();
-    searched_ = 0;
+void sse_parser::reset() {
+    buffer_.clear();
+    scan_from_ = 0;
 }
 
 } // namespace cassia::gateway
--- a/unittests/gateway/caller_identity_test.cpp
+++ b/unittests/gateway/caller_identity_test.cpp
@@ -1,4 +1,4 @@
-// Who may call, and what endpoints are told of it.
+// Tests of the identification of callers, and of the headers that endpoints get.
 
 #include "cassia/gateway/caller_identity.h"
 
@@ -11,7 +11,7 @@
 
 namespace {
 
-schema::route_table sample() {
+schema::route_table sample_table() {
     schema::route_table table;
     table.set_version(1);
     table.set_needs_keys(true);
@@ -32,9 +32,9 @@
     return table;
 }
 
-std::string caller_of(const schema::route_table& source, const std::string& path,
-                      const net::http_fields& fields) {
-    const std::shared_ptr<const routes::table> table = routes::table::compile(source).value();
+std::string identified_team(const schema::route_table& definition, const std::string& path,
+                            const net::http_fields& fields) {
+    const std::shared_ptr<const routes::table> table = routes::table::compile(definition).value();
     const caller_identity caller =
         identify_caller(*table, table->match("shop.example", path), fields, header_names());
     if (!caller.accepted)
@@ -50,51 +50,54 @@
 
 } // namespace
 
-TEST_CASE("a key that no team has opens no route, but those that need none", "[gateway]") {
-    CHECK(caller_of(sample(), "/keyed/x", with_key("k1")) == "a");
-    CHECK(caller_of(sample(), "/keyed/x", with_key("k2")) == "rejected");
-    CHECK(caller_of(sample(), "/keyed/x", with_key("")) == "rejected");
-    CHECK(caller_of(sample(), "/keyed/x", {}) == "rejected");
-    CHECK(caller_of(sample(), "/free/x", with_key("k2")) == "anybody");
-    CHECK(caller_of(sample(), "/free/x", {}) == "anybody");
+TEST_CASE("requests without a known key are accepted only on routes that need no key",
+          "[gateway]") {
+    CHECK(identified_team(sample_table(), "/keyed/x", with_key("k1")) == "a");
+    CHECK(identified_team(sample_table(), "/keyed/x", with_key("k2")) == "rejected");
+    CHECK(identified_team(sample_table(), "/keyed/x", with_key("")) == "rejected");
+    CHECK(identified_team(sample_table(), "/keyed/x", {}) == "rejected");
+    CHECK(identified_team(sample_table(), "/free/x", with_key("k2")) == "anybody");
+    CHECK(identified_team(sample_table(), "/free/x", {}) == "anybody");
 }
 
-TEST_CASE("a key that a version takes away is refused by it", "[gateway]") {
-    schema::route_table table = sample();
+TEST_CASE("a key is rejected once a new version of the table has removed it", "[gateway]") {
+    schema::route_table table = sample_table();
     table.mutable_teams(0)->clear_key_digests();
-    CHECK(caller_of(table, "/keyed/x", with_key("k1")) == "rejected");
+    CHECK(identified_team(table, "/keyed/x", with_key("k1")) == "rejected");
 }
 
-TEST_CASE("without teams anybody may call, with an empty list of teams nobody", "[gateway]") {
-    schema::route_table table = sample();
+TEST_CASE("a table that needs no keys accepts anybody, one that needs keys but has no teams nobody",
+          "[gateway]") {
+    schema::route_table table = sample_table();
     table.clear_teams();
-    CHECK(caller_of(table, "/keyed/x", with_key("k1")) == "rejected");
+    CHECK(identified_team(table, "/keyed/x", with_key("k1")) == "rejected");
     table.set_needs_keys(false);
-    CHECK(caller_of(table, "/keyed/x", {}) == "anybody");
+    CHECK(identified_team(table, "/keyed/x", {}) == "anybody");
 }
 
-TEST_CASE("a request with two keys is of no team", "[gateway]") {
+TEST_CASE("a request with two keys is rejected", "[gateway]") {
     net::http_fields fields = with_key("k1");
     fields.add("Cassia-Key", "k1");
-    CHECK(caller_of(sample(), "/keyed/x", fields) == "rejected");
+    CHECK(identified_team(sample_table(), "/keyed/x", fields) == "rejected");
 }
 
-TEST_CASE("endpoints get the team's name from the gateway and the key from nobody", "[gateway]") {
+TEST_CASE("endpoints get the team set by the gateway and never the key", "[gateway]") {
     net::http_fields fields = with_key("k1");
     fields.add("CASSIA-TEAM", "forged");
     fields.add("Cassia-Team", "forged too");
     fields.add("Other", "kept");
-    write_team(fields, header_names(), "a");
+    set_team_header(fields, header_names(), "a");
     CHECK(fields.find("Cassia-Team") == "a");
     CHECK_FALSE(fields.has("Cassia-Key"));
     CHECK(fields.find("Other") == "kept");
     CHECK(fields.all().size() == 2);
-    write_team(fields, header_names(), "");
+    set_team_header(fields, header_names(), "");
     CHECK_FALSE(fields.has("Cassia-Team"));
 }
 
-TEST_CASE("a log tells keys apart and doesn't tell them", "[gateway]") {
-    CHECK(key_label(with_key("k1"), header_names()).size() == 8);
-    CHECK(key_label(with_key("k1"), header_names()) != key_label(with_key("k2"), header_names()));
-    CHECK(key_label({}, header_names()).empty());
+TEST_CASE("the short digest of a key tells keys apart without revealing them", "[gateway]") {
+    CHECK(short_key_digest(with_key("k1"), header_names()).size() == 8);
+    CHECK(short_key_digest(with_key("k1"), header_names()) !=
+          short_key_digest(with_key("k2"), header_names()));
+    CHECK(short_key_digest({}, header_names()).empty());
 }
--- a/unittests/gateway/sse_parser_test.cpp
+++ b/unittests/gateway/sse_parser_test.cpp
@@ -1,4 +1,4 @@
-// Whole events out of bytes that come in any pieces.
+// Tests of the incremental parser for server-sent events.
 
 #include "cassia/gateway/sse_parser.h"
 
@@ -15,22 +15,22 @@
                            "x-weights: 3\nid:8\ndata:\n\n"
                            "id: 9\r\ndata: last\r\n\r\n";
 
-std::vector<stream_event> feed_in_pieces(const std::string& text, std::size_t size) {
-    event_splitter splitter;
-    std::vector<stream_event> all;
+std::vector<sse_event> feed_in_chunks(const std::string& text, std::size_t size) {
+    sse_parser parser;
+    std::vector<sse_event> all;
     for (std::size_t i = 0; i < text.size(); i += size) {
-        for (stream_event& one : splitter.feed(text.substr(i, size)))
-            all.push_back(std::move(one));
+        for (sse_event& event : parser.feed(text.substr(i, size)))
+            all.push_back(std::move(event));
     }
-    CHECK(!splitter.has_rest());
+    CHECK(!parser.has_partial_event());
     return all;
 }
 
 } // namespace
 
-TEST_CASE("events come out whole and unchanged, however their bytes come in", "[events]") {
+TEST_CASE("the SSE parser returns the same events for chunks of any size", "[events]") {
     for (std::size_t size = 1; size <= sample.size(); ++size) {
-        const std::vector<stream_event> events = feed_in_pieces(sample, size);
+        const std::vector<sse_event> events = feed_in_chunks(sample, size);
         REQUIRE(events.size() == 3);
         CHECK(events[0].id == 7);
         CHECK(events[0].data == "one\ntwo");
@@ -43,14 +43,14 @@
     }
 }
 
-// A caller would see an event twice, or the joint of two halves: an endpoint crashes in the middle
-// of an event and another one goes on behind the last whole one. The half must be forgotten.
-TEST_CASE("half an event is kept back and can be forgotten", "[events]") {
-    event_splitter splitter;
-    CHECK(splitter.feed("id: 1\ndata: a\n\nid: 2\nda").size() == 1);
-    CHECK(splitter.has_rest());
-    splitter.reset();
-    const std::vector<stream_event> events = splitter.feed("id: 2\ndata: b\n\n");
+// When an endpoint crashes within an event, another one resumes the stream after the last complete
+// event. If the parser kept the partial event, the caller would receive it joined to the next one.
+TEST_CASE("the SSE parser holds back a partial event until it is reset", "[events]") {
+    sse_parser parser;
+    CHECK(parser.feed("id: 1\ndata: a\n\nid: 2\nda").size() == 1);
+    CHECK(parser.has_partial_event());
+    parser.reset();
+    const std::vector<sse_event> events = parser.feed("id: 2\ndata: b\n\n");
     REQUIRE(events.size() == 1);
     CHECK(events[0].bytes == "id: 2\ndata: b\n\n");
 }
