--- a/include/cassia/gateway/job_service.h
+++ b/include/cassia/gateway/job_service.h
@@ -1,5 +1,5 @@
-/// Batch jobs toward callers: submission, results, bodies, the end, each asked of the leader of the
-/// job's group.
+/// Batch jobs on behalf of callers: submission, results, bodies of items and cancellation. Each
+/// request goes to the leader of the job's group.
 #pragma once
 
 #include "cassia/base/ids.h"
@@ -14,11 +14,11 @@
 
 enum class job_outcome {
     done,
-    missing,       ///< certainly no such job or item
-    over_quota,    ///< nothing of the job was taken
-    other_content, ///< the id is taken by a job with other items
+    missing,       ///< the job or item certainly doesn't exist
+    over_quota,    ///< no part of the job was accepted
+    other_content, ///< the id belongs to a job with other items
     not_taken,     ///< certainly nothing was sent to a keeper
-    unknown,       ///< what became of the request can't be told
+    unknown,       ///< the request may or may not have taken effect
 };
 
 const char* job_outcome_name(job_outcome outcome);
@@ -27,7 +27,7 @@
 public:
     using done_function = std::function<void(job_outcome, const schema::work_reply&)>;
 
-    job_service(fleet_link& fleet, std::uint32_t work_groups);
+    job_service(cluster_client& cluster, std::uint32_t work_groups);
 
     void submit(schema::job_submit submission, done_function done);
     void read_results(const job_id& job, const team_id& team, std::uint32_t from,
@@ -37,9 +37,9 @@
     void cancel(const job_id& job, const team_id& team, done_function done);
 
 private:
-    void ask(const job_id& job, schema::keeper_request request, done_function done);
+    void send_request(const job_id& job, schema::keeper_request request, done_function done);
 
-    fleet_link& fleet_;
+    cluster_client& cluster_;
     std::uint32_t work_groups_;
 };
 
--- a/include/cassia/gateway/quota_coordinator.h
+++ b/include/cassia/gateway/quota_coordinator.h
@@ -1,4 +1,4 @@
-/// Sends and receives the messages by which gateways keep teams' quotas over all of them.
+/// Applies teams' quotas across all gateways: exchanges the messages of policy::quota_gate.
 #pragma once
 
 #include "cassia/base/ids.h"
@@ -14,23 +14,27 @@
 struct quota_hooks {
     /// Sends to another gateway. \returns false if its address is unknown.
     std::function<bool(const entry_id& to, schema::envelope&)> send;
-    /// A decision on a request that was asked for.
-    std::function<void(const policy::quota_decision&)> on_decision;
+    /// The decision on a request that the owner of the quota was asked about.
+    std::function<void(const policy::quota_decision&)> on_quota_decision;
 };
 
-class quota_link {
+class quota_coordinator {
 public:
-    quota_link(entry_id self, std::uint64_t incarnation, policy::quota_tolerance tolerance,
-               quota_hooks hooks);
+    quota_coordinator(entry_id self, std::uint64_t incarnation, policy::quota_tolerance tolerance,
+                      quota_hooks hooks);
 
     void set_gateways(const std::vector<policy::fleet_gateway>& others);
     void set_teams(const teams::team_table& teams);
+    /// Gives up the quotas that this gateway owns.
     void leave();
-    /// Decides on a request; with `asked`, `flush` sends the ask.
+    /// Decides on a request. If the verdict is `asked`, the next `flush` sends the question to the
+    /// owner of the quota.
     policy::quota_decision admit(const team_id& team);
-    void give_back(const policy::quota_grant& grant);
-    void forget(std::uint64_t ask) { gate_.forget(ask); }
-    /// Sends what is due and passes decisions on.
+    /// Returns the token of a request that has not run and never will.
+    void refund(const policy::quota_grant& grant);
+    /// Drops a pending question: the caller has disconnected.
+    void cancel(std::uint64_t ask) { gate_.forget(ask); }
+    /// Sends messages that are due and delivers decisions.
     void flush();
     /// \returns false if the message is of another kind.
     bool receive(const schema::envelope& message);
--- a/include/cassia/gateway/request_admission.h
+++ b/include/cassia/gateway/request_admission.h
@@ -1,4 +1,4 @@
-/// Which requests may be forwarded: those of teams with a known key, within the team's quota.
+/// Admission control of requests: rejects those with an unknown key or beyond their team's quota.
 #pragma once
 
 #include "cassia/base/clock.h"
@@ -23,26 +23,26 @@
 
 class request_admission {
 public:
-    request_admission(quota_link& quota, metrics& counts, header_names names,
+    request_admission(quota_coordinator& quota, metrics& counts, header_names names,
                       admission_hooks hooks);
 
-    /// Decides on a request of an accepted caller, at once or when the owner of the quota answers.
-    void offer(admitted_request request);
-    /// Answers a caller whose key is unknown.
-    void reject_key(exchange_id id, const net::raw_request& request);
-    void on_decision(const policy::quota_decision& decision);
-    /// The caller has left.
-    void abandon(exchange_id id);
-    std::size_t waiting() const { return asked_.size(); }
+    /// Decides on a request of an identified caller, at once or when the quota's owner replies.
+    void submit(admitted_request request);
+    /// Rejects a request whose key is unknown.
+    void reject_unknown_key(exchange_id id, const net::raw_request& request);
+    void on_quota_decision(const policy::quota_decision& decision);
+    /// The caller disconnected before its response was complete.
+    void on_caller_gone(exchange_id id);
+    std::size_t awaiting_quota() const { return awaiting_quota_.size(); }
 
 private:
-    void reject_quota(const admitted_request& request, milliseconds retry_after);
+    void reject_over_quota(const admitted_request& request, milliseconds retry_after);
 
-    quota_link& quota_;
+    quota_coordinator& quota_;
     metrics& metrics_;
     header_names names_;
     admission_hooks hooks_;
-    std::map<std::uint64_t, admitted_request> asked_; ///< by the number of the ask
+    std::map<std::uint64_t, admitted_request> awaiting_quota_; ///< by quota_decision::ask
 };
 
 } // namespace cassia::gateway
--- a/include/cassia/gateway/service.h
+++ b/include/cassia/gateway/service.h
@@ -1,4 +1,5 @@
-/// A gateway: forwards requests by the table of routes, and runs batch items in free slots.
+/// The gateway process: forwards online requests by the routing table, runs batch items in free
+/// slots and serves the API of batch jobs.
 #pragma once
 
 #include "cassia/base/metrics.h"
@@ -25,14 +26,14 @@
 namespace cassia::gateway {
 
 struct service_hooks {
-    /// Offered each request before it is matched to a route, once there is a table of routes.
-    /// \returns whether it was taken.
+    /// Called for each request before it is matched to a route, once there is a routing table.
+    /// \returns whether the hook responds to the request itself.
     std::function<bool(exchange_id, const net::raw_request&)> intercept_request;
-    /// A request of a batch route, by a team unless the route needs no key.
+    /// Called for a request of a batch route. The team is null if the route requires no key.
     std::function<void(exchange_id, const net::raw_request&, const schema::route&,
                        const teams::team*)>
         on_batch_request;
-    /// How endpoints are asked to hand runs over; may be empty.
+    /// How runs migrate between endpoints; empty if they can't.
     migration_protocol migration;
 };
 
@@ -41,46 +42,49 @@
     service(schema::gateway_settings settings, header_names names, service_hooks hooks);
     ~service();
 
-    /// Opens the sockets. \returns an empty string or what went wrong.
+    /// Opens the sockets. \returns an empty string or an error message.
     std::string open();
-    /// Serves until told to stop. \returns the exit code.
+    /// Serves until the process is told to stop. \returns the exit code.
     int run();
 
     void respond(exchange_id id, int status, const net::http_fields& fields, std::string_view body);
-    /// Takes over what may change while it runs: the seeds, and how long callers keep lists.
+    /// Applies changes of those settings that may change at run time: the seeds, how long callers
+    /// use a list of gateways, the shutdown grace and the retention of results.
     void apply(const schema::gateway_settings& changed);
     net::task& owner() { return task_; }
     job_service& jobs() { return *jobs_; }
-    /// The caller of a request that is for no one route; there is a table of routes.
+    /// Identifies the caller of a request that belongs to no single route. Requires a routing
+    /// table.
     caller_identity identify(const net::raw_request& request) const;
-    /// Whether the host has a route for jobs that needs no key.
+    /// Whether the host has a batch route that requires no key.
     bool serves_jobs_without_key(const std::string& host) const;
     const schema::gateway_settings& settings() const { return settings_; }
     const header_names& names() const { return names_; }
-    bool is_shutting_down() const { return leaving_; }
+    bool is_shutting_down() const { return shutting_down_; }
 
 private:
     void on_request(exchange_id id, net::raw_request request);
-    struct early_request {
+    /// A request that arrived before there was a routing table.
+    struct deferred_request {
         net::raw_request request;
-        instant until{};                       ///< refused if there is no table by then
-        std::optional<milliseconds> come_back; ///< told then, if the caller has time for it
+        instant expires_at{};                    ///< refused if there is no table by then
+        std::optional<milliseconds> retry_after; ///< sent with the refusal if the caller has time
     };
 
-    void take_early(exchange_id id, net::raw_request request);
-    void match_early();
-    void refuse_early(instant now);
+    void defer(exchange_id id, net::raw_request request);
+    void resume_deferred();
+    void refuse_expired(instant now);
     void refuse(exchange_id id, const net::raw_request& request,
-                std::optional<milliseconds> come_back);
-    void on_ready_request(exchange_id id, const net::raw_request& request);
+                std::optional<milliseconds> retry_after);
+    void on_admin_request(exchange_id id, const net::raw_request& request);
     void set_routes(std::shared_ptr<const routes::table> table);
-    void yield_slot(const entry_id& holder, const endpoint_id& endpoint);
+    void request_yield(const entry_id& holder, const endpoint_id& endpoint);
     void lease(const std::string& route, std::uint32_t limit,
                const item_runner_hooks::lease_done& done);
     void report(const schema::items_end& ends, const item_runner_hooks::report_done& done);
     void tick();
     void shut_down();
-    void watch_for_end(instant stop_at);
+    void check_shutdown(instant stop_at);
     std::string metrics_text();
     std::string dump() const;
 
@@ -91,19 +95,19 @@
     metrics metrics_;
     policy::slot_table slots_;
     std::unique_ptr<net::raw_server> server_;
-    std::unique_ptr<net::raw_server> ready_server_;
+    std::unique_ptr<net::raw_server> admin_server_;
     std::unique_ptr<net::raw_client> client_;
-    std::unique_ptr<fleet_link> fleet_;
+    std::unique_ptr<cluster_client> cluster_;
     std::unique_ptr<dispatcher> dispatcher_;
     std::unique_ptr<request_admission> admission_;
     std::unique_ptr<item_runner> items_;
     std::unique_ptr<job_service> jobs_;
     std::shared_ptr<const routes::table> routes_;
-    std::map<exchange_id, early_request> early_; ///< came before there was a table
+    std::map<exchange_id, deferred_request> deferred_;
     std::mt19937_64 random_;
-    std::uint32_t lease_turn_ = 0;
-    bool leaving_ = false;
-    instant leaving_since_{};
+    std::uint32_t lease_requests_ = 0; ///< selects the work group of the next lease request
+    bool shutting_down_ = false;
+    instant shutdown_began_at_{};
 };
 
 } // namespace cassia::gateway
--- a/include/cassia/gateway/usage_coordinator.h
+++ b/include/cassia/gateway/usage_coordinator.h
@@ -1,5 +1,5 @@
-/// Sends and takes the messages by which gateways tell each other which slots they use, and ask
-/// each other to give one up.
+/// Exchanges slot usage and yield requests with other gateways: sends and receives the messages of
+/// policy::usage_exchange.
 #pragma once
 
 #include "cassia/base/ids.h"
@@ -15,36 +15,37 @@
 struct usage_hooks {
     /// Sends to another gateway. \returns false if its address is unknown.
     std::function<bool(const entry_id& to, schema::envelope&)> send;
-    /// What another gateway or a zone has under way, for the slot table.
-    std::function<void(const entry_id& holder, policy::use_map)> on_uses;
+    /// Slots in use by another gateway or by a whole zone, under its key in the slot table.
+    std::function<void(const entry_id& holder, policy::use_map)> on_usage;
     /// Another gateway needs slots that batch items of this one hold.
-    std::function<void(const endpoint_id&, std::uint32_t slots)> on_yield;
+    std::function<void(const endpoint_id&, std::uint32_t slots)> on_yield_request;
 };
 
-class usage_link {
+class usage_coordinator {
 public:
-    usage_link(entry_id self, zone_id zone, usage_hooks hooks);
+    usage_coordinator(entry_id self, zone_id zone, usage_hooks hooks);
 
     void set_gateways(std::vector<policy::fleet_gateway> others);
+    /// This gateway no longer acts as a relay.
     void leave() { exchange_.leave(); }
-    /// Sends what is due of what this gateway has under way.
-    void share(const policy::use_map& uses);
+    /// Sends the slots in use here to other gateways when due.
+    void share(const policy::use_map& usage);
     /// \param holder a gateway, or a zone by its key in the slot table.
-    void ask_to_yield(const entry_id& holder, const endpoint_id& endpoint, std::uint32_t slots);
-    /// Takes a message of another gateway; others are ignored.
+    void request_yield(const entry_id& holder, const endpoint_id& endpoint, std::uint32_t slots);
+    /// Handles a message of another gateway; ignores messages of other kinds.
     void receive(const schema::envelope& message);
 
 private:
     void send(const policy::usage_message& message);
-    void on_sums(const schema::usage_sums& sums);
-    void on_yield(const schema::yield_request& request);
-    void relay_yield(const schema::yield_request& request);
+    void on_zone_sums(const schema::usage_sums& sums);
+    void handle_yield_request(const schema::yield_request& request);
+    void forward_yield_request(const schema::yield_request& request);
 
     entry_id self_;
     zone_id zone_;
     usage_hooks hooks_;
     policy::usage_exchange exchange_;
-    entry_id logged_relay_;
+    entry_id last_logged_relay_;
 };
 
 } // namespace cassia::gateway
--- a/lib/gateway/cluster_client.cpp
+++ b/lib/gateway/cluster_client.cpp
@@ -9,29 +9,30 @@
 namespace cassia::gateway {
 
 namespace {
-// Keepers list a gateway for 0.9 s after its last word, so two may get lost.
+// Keepers list a gateway as serving for 0.9 s after its last hello, so two hellos may be lost.
 constexpr milliseconds hello_interval(250);
 constexpr milliseconds tick_interval(50);
-constexpr milliseconds keeper_forgotten_after(10000);
-// Work keepers tell only that they are there, whom they lead, and which jobs have ended.
-constexpr std::uint32_t heartbeats_for_each_to_work_keepers = 4;
-// The keeper followed tells the same as the other keepers of its group. They are asked so that
-// another one can be followed at once, and in case that it lags behind.
-constexpr std::uint32_t heartbeats_for_each_to_all = 8;
-// Four hellos without any answer.
-constexpr milliseconds control_missed_after(1000);
-// Endpoints fall silent without a change of the directory, so it is read anew this often.
-constexpr milliseconds silence_check_interval(250);
+constexpr milliseconds keeper_expiry(10000);
+// Beacons of work keepers tell only that they live, which groups they lead and which jobs must
+// stop.
+constexpr std::uint32_t rounds_per_work_keeper_hello = 4;
+// All keepers of the control group tell the same. The others get a hello so that another one can be
+// followed at once, and in case that the one followed lags behind.
+constexpr std::uint32_t rounds_per_hello_to_all = 8;
+// Time of four hellos without any reply.
+constexpr milliseconds control_lost_after(1000);
+// An endpoint that falls silent does not change the directory, so it is also checked periodically.
+constexpr milliseconds endpoint_check_interval(250);
 } // namespace
 
-// A clock that only goes forward while the VM runs: one that an operator sets back would make this
-// process look older than the one before it.
+// Uses the monotonic clock of the VM: if the wall clock were set back, this process would look
+// older than the one before it.
 static std::uint64_t incarnation_now() {
     return to_us(monotonic_now());
 }
 
-fleet_link::fleet_link(net::task& owner, const schema::gateway_settings& settings,
-                       fleet_hooks hooks)
+cluster_client::cluster_client(net::task& owner, const schema::gateway_settings& settings,
+                               cluster_hooks hooks)
     : owner_(owner), settings_(settings), hooks_(std::move(hooks)), incarnation_(incarnation_now()),
       holder_(settings.name() + "/" + std::to_string(incarnation_)),
       hub_(owner,
@@ -46,56 +47,56 @@
              {[this](const entry_id& to, schema::envelope& envelope) {
                   return send_to_gateway(to, envelope);
               },
-              hooks_.on_uses, hooks_.on_yield}),
+              hooks_.on_usage, hooks_.on_yield_request}),
       quota_(
           entry_id(settings.name()), incarnation_,
           {settings.quota_overshoot(), settings.quota_overshoot_part(), settings.quota_window_s()},
           {[this](const entry_id& to, schema::envelope& envelope) {
                return send_to_gateway(to, envelope);
            },
-           hooks_.on_quota}) {
+           hooks_.on_quota_decision}) {
     set_seeds({settings.cluster().seed().begin(), settings.cluster().seed().end()});
 }
 
-fleet_link::~fleet_link() = default;
+cluster_client::~cluster_client() = default;
 
-std::string fleet_link::open() {
+std::string cluster_client::open() {
     const net::result<void> opened = hub_.open();
     if (!opened)
         return opened.error().text;
     owner_.every(hello_interval, [this] {
-        ++heartbeats_;
-        if (heartbeats_ % heartbeats_for_each_to_all == 0)
-            say_hello(audience::all_keepers);
-        else if (heartbeats_ % heartbeats_for_each_to_work_keepers == 0)
-            say_hello(audience::work_keepers);
+        ++hello_rounds_;
+        if (hello_rounds_ % rounds_per_hello_to_all == 0)
+            send_hello(hello_scope::all_keepers);
+        else if (hello_rounds_ % rounds_per_work_keeper_hello == 0)
+            send_hello(hello_scope::work_keepers);
         else
-            say_hello(audience::followed_keeper);
+            send_hello(hello_scope::followed_keeper);
     });
     owner_.every(tick_interval, [this] { tick(); });
-    say_hello(audience::all_keepers);
+    send_hello(hello_scope::all_keepers);
     return "";
 }
 
-void fleet_link::set_seeds(const std::vector<std::string>& seeds) {
+void cluster_client::set_seeds(const std::vector<std::string>& seeds) {
     seeds_.clear();
     for (const std::string& seed : seeds)
         seeds_.insert(net::peer_of_seed(seed, settings_.peer_address()));
 }
 
-void fleet_link::leave() {
+void cluster_client::leave() {
     leaving_ = true;
     usage_.leave();
     quota_.leave();
-    say_hello(audience::all_keepers);
+    send_hello(hello_scope::all_keepers);
 }
 
-void fleet_link::ask(schema::keeper_request request, entry::ask_options options,
-                     entry::keeper_client::reply_function done) {
+void cluster_client::send_request(schema::keeper_request request, entry::ask_options options,
+                                  entry::keeper_client::reply_function done) {
     keeper_client_.ask(std::move(request), options, std::move(done), monotonic_now());
 }
 
-void fleet_link::tell_held(schema::held_items held, group_id group) {
+void cluster_client::send_held_items(schema::held_items held, group_id group) {
     auto leader = leaders_.find(group);
     if (leader == leaders_.end())
         return;
@@ -107,33 +108,33 @@
     hub_.send(leader->second, envelope);
 }
 
-// Keepers that are asked seldom are watched loosely.
-net::peer_watch fleet_link::watch_of(const peer_address& keeper,
-                                     const peer_address& followed) const {
+// A connection is watched the more closely the more often its keeper gets a hello.
+net::peer_watch cluster_client::watch_for(const peer_address& keeper,
+                                          const peer_address& followed) const {
     if (keeper == followed)
         return net::peer_watch::close;
     return work_keepers_.count(keeper) > 0 ? net::peer_watch::steady : net::peer_watch::relaxed;
 }
 
-// While no keeper is in touch with its group, all are asked more often: any may be the first to
-// have a table.
-void fleet_link::say_hello(audience chosen) {
+// While the followed keeper is out of touch with its group, all get a hello more often: any of them
+// may be the first to have the routing table.
+void cluster_client::send_hello(hello_scope scope) {
     const instant now = monotonic_now();
     const peer_address followed = followed_.choose(now);
     roster_.follow(followed);
-    std::set<peer_address> to;
+    std::set<peer_address> recipients;
     if (!followed.empty())
-        to.insert(followed);
-    const bool asks_all = followed_.is_in_touch() ? chosen == audience::all_keepers
-                                                  : chosen != audience::followed_keeper;
-    if (followed.empty() || asks_all) {
-        to.insert(seeds_.begin(), seeds_.end());
-        for (const std::pair<const peer_address, instant>& one : control_keepers_)
-            to.insert(one.first);
+        recipients.insert(followed);
+    const bool includes_all = followed_.is_in_touch() ? scope == hello_scope::all_keepers
+                                                      : scope != hello_scope::followed_keeper;
+    if (followed.empty() || includes_all) {
+        recipients.insert(seeds_.begin(), seeds_.end());
+        for (const std::pair<const peer_address, instant>& keeper : control_keepers_)
+            recipients.insert(keeper.first);
     }
-    if (chosen != audience::followed_keeper) {
-        for (const std::pair<const peer_address, instant>& one : work_keepers_)
-            to.insert(one.first);
+    if (scope != hello_scope::followed_keeper) {
+        for (const std::pair<const peer_address, instant>& keeper : work_keepers_)
+            recipients.insert(keeper.first);
     }
     schema::envelope envelope;
     schema::entry_hello* hello = envelope.mutable_hello();
@@ -146,19 +147,19 @@
     hello->set_draining(leaving_ || !routes_);
     hello->set_routes_version(routes_ ? routes_->version() : 0);
     hello->set_sent_at_us(to_us(now));
-    for (const peer_address& one : to) {
-        const keeper_state& keeper = keepers_[one];
+    for (const peer_address& recipient : recipients) {
+        const keeper_state& keeper = keepers_[recipient];
         hello->set_directory_epoch(keeper.directory_epoch);
         hello->set_directory_revision(keeper.directory_revision);
         hello->set_keepers_digest(keeper.keepers_digest);
-        hello->set_follows(one == followed);
-        if (one == followed)
+        hello->set_follows(recipient == followed);
+        if (recipient == followed)
             roster_.write(*hello);
-        hub_.send(one, envelope, watch_of(one, followed));
+        hub_.send(recipient, envelope, watch_for(recipient, followed));
     }
 }
 
-void fleet_link::on_message(const schema::envelope& message) {
+void cluster_client::on_message(const schema::envelope& message) {
     switch (message.body_case()) {
     case schema::envelope::kBeacon:
         on_beacon(message.beacon());
@@ -167,7 +168,7 @@
         keeper_client_.receive(message.reply(), monotonic_now());
         break;
     case schema::envelope::kStale:
-        hooks_.on_stale(message.stale());
+        hooks_.on_stale_items(message.stale());
         break;
     default:
         if (!quota_.receive(message))
@@ -176,16 +177,16 @@
     }
 }
 
-void fleet_link::on_beacon(const schema::keeper_beacon& beacon) {
+void cluster_client::on_beacon(const schema::keeper_beacon& beacon) {
     const instant now = monotonic_now();
     const peer_address from(beacon.keeper());
-    keepers_[from].heard = now;
+    keepers_[from].last_beacon_at = now;
     keepers_[from].clock_us = beacon.keeper_clock_us();
-    const std::size_t known = work_keepers_.size();
-    learn_keepers(beacon, now);
-    // A keeper that is new here gives leases to this process and doesn't know that it lives.
-    if (work_keepers_.size() > known)
-        say_hello(audience::all_keepers);
+    const std::size_t known_before = work_keepers_.size();
+    update_keepers(beacon, now);
+    // A new work keeper may have granted leases to this process without knowing that it lives.
+    if (work_keepers_.size() > known_before)
+        send_hello(hello_scope::all_keepers);
     for (const std::uint32_t group : beacon.leads()) {
         peer_address& leader = leaders_[group_id(group)];
         if (leader != from)
@@ -194,7 +195,7 @@
         keeper_client_.leads(group_id(group), from.str());
     }
     if (beacon.directory_epoch() != 0)
-        learn_control(beacon, now);
+        on_control_beacon(beacon, now);
     const bool newer =
         beacon.has_routes() && (!routes_ || beacon.routes().version() > routes_->version());
     if (newer) {
@@ -207,7 +208,7 @@
                 .with("from", from.str());
             quota_.set_teams(routes_->teams());
             hooks_.on_routes(routes_);
-            say_hello(audience::followed_keeper);
+            send_hello(hello_scope::followed_keeper);
         } else {
             log_error("routes_refused").with("cause", compiled.error().text);
         }
@@ -216,64 +217,65 @@
         std::set<job_id> jobs;
         for (const std::string& job : beacon.cancelled_jobs())
             jobs.insert(job_id(job));
-        hooks_.on_cancelled(jobs);
+        hooks_.on_jobs_cancelled(jobs);
     }
 }
 
-void fleet_link::learn_control(const schema::keeper_beacon& beacon, instant now) {
+void cluster_client::on_control_beacon(const schema::keeper_beacon& beacon, instant now) {
     const peer_address from(beacon.keeper());
-    last_news_ = now;
+    last_control_beacon_at_ = now;
     control_keepers_[from] = now;
     followed_.heard(from, beacon.in_touch(), now);
-    learn_endpoints(beacon, now);
-    learn_entries(beacon);
+    update_endpoints(beacon, now);
+    update_gateways(beacon);
 }
 
-bool fleet_link::forget_silent(std::map<peer_address, instant>& keepers, instant now) {
-    const std::size_t known = keepers.size();
-    for (auto one = keepers.begin(); one != keepers.end();)
-        one = now - one->second > keeper_forgotten_after ? keepers.erase(one) : std::next(one);
-    return keepers.size() != known;
+bool cluster_client::remove_silent(std::map<peer_address, instant>& keepers, instant now) {
+    const std::size_t size_before = keepers.size();
+    for (auto keeper = keepers.begin(); keeper != keepers.end();)
+        keeper = now - keeper->second > keeper_expiry ? keepers.erase(keeper) : std::next(keeper);
+    return keepers.size() != size_before;
 }
 
-// A keeper names those it hears only when they differ from those it named before; until then they
-// are still there.
-void fleet_link::learn_keepers(const schema::keeper_beacon& beacon, instant now) {
-    keeper_state& from = keepers_[peer_address(beacon.keeper())];
+// A keeper lists the keepers that it hears only when the list has changed; until then the last list
+// remains valid.
+void cluster_client::update_keepers(const schema::keeper_beacon& beacon, instant now) {
+    keeper_state& sender = keepers_[peer_address(beacon.keeper())];
     if (beacon.keepers_size() > 0)
-        from.keepers = {beacon.keepers().begin(), beacon.keepers().end()};
-    from.keepers_digest = beacon.keepers_digest();
-    const std::size_t known = work_keepers_.size();
-    for (const schema::keeper_hello& one : from.keepers) {
-        const peer_address address(one.address());
-        if (one.control()) {
+        sender.keepers = {beacon.keepers().begin(), beacon.keepers().end()};
+    sender.keepers_digest = beacon.keepers_digest();
+    const std::size_t known_before = work_keepers_.size();
+    for (const schema::keeper_hello& listed : sender.keepers) {
+        const peer_address address(listed.address());
+        if (listed.control()) {
             control_keepers_[address] = now;
-            followed_.set_zone(address, zone_id(one.zone()));
+            followed_.set_zone(address, zone_id(listed.zone()));
         }
-        if (one.in_work_group())
+        if (listed.in_work_group())
             work_keepers_[address] = now;
     }
-    forget_silent(control_keepers_, now);
-    const bool forgot = forget_silent(work_keepers_, now);
-    if (!forgot && known == work_keepers_.size())
+    remove_silent(control_keepers_, now);
+    const bool removed = remove_silent(work_keepers_, now);
+    if (!removed && known_before == work_keepers_.size())
         return;
     std::vector<entry::keeper_address> addresses;
-    for (const std::pair<const peer_address, instant>& one : work_keepers_)
-        addresses.push_back({one.first.str(), one.first});
+    for (const std::pair<const peer_address, instant>& keeper : work_keepers_)
+        addresses.push_back({keeper.first.str(), keeper.first});
     keeper_client_.set_keepers(std::move(addresses));
 }
 
-void fleet_link::learn_entries(const schema::keeper_beacon& beacon) {
+void cluster_client::update_gateways(const schema::keeper_beacon& beacon) {
     if (!roster_.learn(peer_address(beacon.keeper()), beacon))
         return;
     std::vector<policy::fleet_gateway> gateways;
-    for (const std::pair<const entry_id, schema::entry_hello>& one : roster_.entries())
-        gateways.push_back({one.first, zone_id(one.second.zone()), one.second.draining()});
+    for (const std::pair<const entry_id, schema::entry_hello>& gateway : roster_.entries())
+        gateways.push_back(
+            {gateway.first, zone_id(gateway.second.zone()), gateway.second.draining()});
     quota_.set_gateways(gateways);
     usage_.set_gateways(std::move(gateways));
 }
 
-void fleet_link::learn_endpoints(const schema::keeper_beacon& beacon, instant now) {
+void cluster_client::update_endpoints(const schema::keeper_beacon& beacon, instant now) {
     keeper_state& keeper = keepers_[peer_address(beacon.keeper())];
     keeper.directory_epoch = beacon.directory_epoch();
     keeper.directory_revision = beacon.directory_revision();
@@ -284,30 +286,31 @@
     publish_endpoints(now);
 }
 
-void fleet_link::publish_endpoints(instant now) {
+void cluster_client::publish_endpoints(instant now) {
     const bool unchanged = directory_.changes() == published_changes_;
-    if (unchanged && now - published_at_ < silence_check_interval)
+    if (unchanged && now - endpoints_checked_at_ < endpoint_check_interval)
         return;
     published_changes_ = directory_.changes();
-    published_at_ = now;
-    // Silence is judged by the time of the last news: while no keeper can be heard at all, the
-    // endpoints that were there are the best guess.
+    endpoints_checked_at_ = now;
+    // Endpoints are judged as of the last beacon of a control keeper: while none can be heard, the
+    // endpoints known last are the best guess.
     std::vector<policy::slot_endpoint> endpoints;
-    for (const membership::endpoint_entry* one : directory_.serving(std::min(now, last_news_))) {
-        const schema::endpoint_record& record = one->record;
+    for (const membership::endpoint_entry* entry :
+         directory_.serving(std::min(now, last_control_beacon_at_))) {
+        const schema::endpoint_record& record = entry->record;
         endpoints.push_back({endpoint_id(record.id()), record.incarnation(),
                              http_address(record.address()), zone_id(record.zone()),
                              service_id(record.service()), std::max(record.max_running(), 1U)});
     }
-    if (endpoints == published_)
+    if (endpoints == published_endpoints_)
         return;
-    published_ = endpoints;
+    published_endpoints_ = endpoints;
     log_info("endpoints_changed").with("serving", endpoints.size());
     hooks_.on_endpoints(endpoints);
 }
 
-// \returns false if no address is known.
-bool fleet_link::send_to_gateway(const entry_id& to, schema::envelope& envelope) {
+// \returns false if the address is unknown.
+bool cluster_client::send_to_gateway(const entry_id& to, schema::envelope& envelope) {
     auto found = roster_.entries().find(to);
     if (found == roster_.entries().end())
         return false;
@@ -315,25 +318,27 @@
     return true;
 }
 
-// Requests go on by what was known last; the lines say from when to when.
-void fleet_link::watch_control(instant now) {
-    if (last_news_ == instant())
+// Without the control group requests are served with the last known state; the log lines mark the
+// start and the end of such a period.
+void cluster_client::check_control_contact(instant now) {
+    if (last_control_beacon_at_ == instant())
         return;
-    const bool lost = now - last_news_ > control_missed_after;
+    const bool lost = now - last_control_beacon_at_ > control_lost_after;
     if (lost == control_lost_)
         return;
     control_lost_ = lost;
     if (lost)
         log_warning("control_lost")
-            .with("silent_ms", std::chrono::duration_cast<milliseconds>(now - last_news_).count());
+            .with("silent_ms",
+                  std::chrono::duration_cast<milliseconds>(now - last_control_beacon_at_).count());
     else
         log_info("control_regained").with("routes_version", routes_ ? routes_->version() : 0);
 }
 
-void fleet_link::tick() {
+void cluster_client::tick() {
     const instant now = monotonic_now();
     keeper_client_.tick(now);
-    watch_control(now);
+    check_control_contact(now);
     publish_endpoints(now);
 }
 
--- a/lib/gateway/job_service.cpp
+++ b/lib/gateway/job_service.cpp
@@ -7,9 +7,9 @@
 namespace cassia::gateway {
 
 namespace {
-// Callers wait 1 to 4 s; an answer that comes later helps nobody, and an unknown outcome lets them
-// ask another gateway.
-constexpr milliseconds patience(1400);
+// Callers wait 1 to 4 s. A later response would be useless, and after an unknown outcome they can
+// retry at another gateway.
+constexpr milliseconds request_timeout(1400);
 } // namespace
 
 const char* job_outcome_name(job_outcome outcome) {
@@ -30,7 +30,7 @@
     return "unknown";
 }
 
-static job_outcome outcome_of(const schema::keeper_reply& reply) {
+static job_outcome to_outcome(const schema::keeper_reply& reply) {
     if (reply.result() != schema::keeper_reply::done)
         return job_outcome::unknown;
     switch (reply.work().result()) {
@@ -45,29 +45,30 @@
     }
 }
 
-job_service::job_service(fleet_link& fleet, std::uint32_t work_groups)
-    : fleet_(fleet), work_groups_(work_groups) {}
+job_service::job_service(cluster_client& cluster, std::uint32_t work_groups)
+    : cluster_(cluster), work_groups_(work_groups) {}
 
-void job_service::ask(const job_id& job, schema::keeper_request request, done_function done) {
-    if (!fleet_.knows_work_keepers()) {
+void job_service::send_request(const job_id& job, schema::keeper_request request,
+                               done_function done) {
+    if (!cluster_.knows_work_keepers()) {
         done(job_outcome::not_taken, schema::work_reply());
         return;
     }
     const group_id group = state::group_of_job(job, work_groups_);
     request.set_group(static_cast<std::uint32_t>(group.value()));
     entry::ask_options options;
-    options.patience = patience;
-    fleet_.ask(std::move(request), options,
-               [done = std::move(done)](const schema::keeper_reply& reply) {
-                   done(outcome_of(reply), reply.work());
-               });
+    options.patience = request_timeout;
+    cluster_.send_request(std::move(request), options,
+                          [done = std::move(done)](const schema::keeper_reply& reply) {
+                              done(to_outcome(reply), reply.work());
+                          });
 }
 
 void job_service::submit(schema::job_submit submission, done_function done) {
     const job_id job(submission.begin().job());
     schema::keeper_request request;
     *request.mutable_work()->mutable_submit() = std::move(submission);
-    ask(job, std::move(request), std::move(done));
+    send_request(job, std::move(request), std::move(done));
 }
 
 void job_service::read_results(const job_id& job, const team_id& team, std::uint32_t from,
@@ -77,7 +78,7 @@
     request.mutable_query()->set_job(job.str());
     request.mutable_query()->set_team(team.str());
     request.mutable_query()->set_from(from);
-    ask(job, std::move(request), std::move(done));
+    send_request(job, std::move(request), std::move(done));
 }
 
 void job_service::read_item(const job_id& job, const team_id& team, const std::string& item,
@@ -87,7 +88,7 @@
     request.mutable_query()->set_job(job.str());
     request.mutable_query()->set_team(team.str());
     request.mutable_query()->set_custom_id(item);
-    ask(job, std::move(request), std::move(done));
+    send_request(job, std::move(request), std::move(done));
 }
 
 void job_service::cancel(const job_id& job, const team_id& team, done_function done) {
@@ -96,7 +97,7 @@
     cancellation->set_job(job.str());
     cancellation->set_team(team.str());
     cancellation->set_at(to_unix_ms(wall_now()));
-    ask(job, std::move(request), std::move(done));
+    send_request(job, std::move(request), std::move(done));
 }
 
 } // namespace cassia::gateway
--- a/lib/gateway/usage_coordinator.cpp
+++ b/lib/gateway/usage_coordinator.cpp
@@ -11,100 +11,100 @@
 using policy::use_map;
 
 template <class Message>
-static void write_uses(const use_map& uses, Message& message) {
-    for (const std::pair<const endpoint_id, policy::slot_use>& one : uses) {
+static void encode_usage(const use_map& usage, Message& message) {
+    for (const std::pair<const endpoint_id, policy::slot_use>& element : usage) {
         schema::endpoint_use* use = message.add_uses();
-        use->set_endpoint(one.first.str());
-        use->set_online(one.second.online);
-        use->set_batch(one.second.batch);
-        use->set_suspects(one.second.suspecting);
+        use->set_endpoint(element.first.str());
+        use->set_online(element.second.online);
+        use->set_batch(element.second.batch);
+        use->set_suspects(element.second.suspecting);
     }
 }
 
 template <class Message>
-static use_map read_uses(const Message& message) {
-    use_map uses;
+static use_map decode_usage(const Message& message) {
+    use_map usage;
     for (const schema::endpoint_use& use : message.uses())
-        uses[endpoint_id(use.endpoint())] = {use.online(), use.batch(), use.suspects()};
-    return uses;
+        usage[endpoint_id(use.endpoint())] = {use.online(), use.batch(), use.suspects()};
+    return usage;
 }
 
-usage_link::usage_link(entry_id self, zone_id zone, usage_hooks hooks)
+usage_coordinator::usage_coordinator(entry_id self, zone_id zone, usage_hooks hooks)
     : self_(std::move(self)), zone_(std::move(zone)), hooks_(std::move(hooks)),
       exchange_(self_, zone_) {}
 
-void usage_link::set_gateways(std::vector<policy::fleet_gateway> others) {
+void usage_coordinator::set_gateways(std::vector<policy::fleet_gateway> others) {
     exchange_.set_gateways(std::move(others));
 }
 
-void usage_link::share(const use_map& uses) {
-    for (const usage_message& message : exchange_.due(uses, monotonic_now()))
+void usage_coordinator::share(const use_map& usage) {
+    for (const usage_message& message : exchange_.due(usage, monotonic_now()))
         send(message);
     const entry_id relay = exchange_.relay().value_or(entry_id());
-    if (relay == logged_relay_)
+    if (relay == last_logged_relay_)
         return;
-    logged_relay_ = relay;
+    last_logged_relay_ = relay;
     log_info("usage_relay_chosen").with("relay", relay.str()).with("zone", zone_.str());
 }
 
-void usage_link::send(const usage_message& message) {
+void usage_coordinator::send(const usage_message& message) {
     if (message.to == self_) {
-        for (const policy::zone_uses::value_type& one : message.zones)
-            hooks_.on_uses(policy::usage_exchange::zone_key(one.first), *one.second);
+        for (const policy::zone_uses::value_type& zone_use : message.zones)
+            hooks_.on_usage(policy::usage_exchange::zone_key(zone_use.first), *zone_use.second);
         return;
     }
     schema::envelope envelope;
     if (message.kind == usage_message::content::own_use) {
         envelope.mutable_rumor()->set_entry(self_.str());
-        write_uses(message.own, *envelope.mutable_rumor());
+        encode_usage(message.own, *envelope.mutable_rumor());
     } else if (message.kind == usage_message::content::report) {
         envelope.mutable_usage()->set_entry(self_.str());
-        write_uses(message.own, *envelope.mutable_usage());
+        encode_usage(message.own, *envelope.mutable_usage());
     } else {
         schema::usage_sums* sums = envelope.mutable_sums();
         sums->set_entry(self_.str());
         sums->set_zone(zone_.str());
-        for (const policy::zone_uses::value_type& one : message.zones) {
+        for (const policy::zone_uses::value_type& zone_use : message.zones) {
             schema::zone_usage* zone = sums->add_zones();
-            zone->set_zone(one.first.str());
-            write_uses(*one.second, *zone);
+            zone->set_zone(zone_use.first.str());
+            encode_usage(*zone_use.second, *zone);
         }
     }
     hooks_.send(message.to, envelope);
 }
 
-void usage_link::receive(const schema::envelope& message) {
+void usage_coordinator::receive(const schema::envelope& message) {
     switch (message.body_case()) {
     case schema::envelope::kRumor:
-        hooks_.on_uses(entry_id(message.rumor().entry()), read_uses(message.rumor()));
+        hooks_.on_usage(entry_id(message.rumor().entry()), decode_usage(message.rumor()));
         break;
     case schema::envelope::kUsage:
-        exchange_.take_report(entry_id(message.usage().entry()), read_uses(message.usage()),
+        exchange_.take_report(entry_id(message.usage().entry()), decode_usage(message.usage()),
                               monotonic_now());
         break;
     case schema::envelope::kSums:
-        on_sums(message.sums());
+        on_zone_sums(message.sums());
         break;
     case schema::envelope::kYield:
-        on_yield(message.yield());
+        handle_yield_request(message.yield());
         break;
     default:
         break;
     }
 }
 
-void usage_link::on_sums(const schema::usage_sums& sums) {
+void usage_coordinator::on_zone_sums(const schema::usage_sums& sums) {
     policy::zone_uses zones;
-    for (const schema::zone_usage& one : sums.zones())
-        zones[zone_id(one.zone())] = std::make_shared<use_map>(read_uses(one));
+    for (const schema::zone_usage& zone : sums.zones())
+        zones[zone_id(zone.zone())] = std::make_shared<use_map>(decode_usage(zone));
     if (!exchange_.take_sums(entry_id(sums.entry()), zone_id(sums.zone()), zones, monotonic_now()))
         return;
-    for (const policy::zone_uses::value_type& one : zones)
-        hooks_.on_uses(policy::usage_exchange::zone_key(one.first), *one.second);
+    for (const policy::zone_uses::value_type& zone : zones)
+        hooks_.on_usage(policy::usage_exchange::zone_key(zone.first), *zone.second);
 }
 
-void usage_link::ask_to_yield(const entry_id& holder, const endpoint_id& endpoint,
-                              std::uint32_t slots) {
+void usage_coordinator::request_yield(const entry_id& holder, const endpoint_id& endpoint,
+                                      std::uint32_t slots) {
     schema::envelope envelope;
     schema::yield_request* request = envelope.mutable_yield();
     request->set_endpoint(endpoint.str());
@@ -115,25 +115,25 @@
     if (const std::optional<entry_id> relay = exchange_.relay())
         hooks_.send(*relay, envelope);
     else
-        relay_yield(*request);
+        forward_yield_request(*request);
 }
 
-void usage_link::on_yield(const schema::yield_request& request) {
+void usage_coordinator::handle_yield_request(const schema::yield_request& request) {
     if (request.any_gateway())
-        relay_yield(request);
+        forward_yield_request(request);
     else
-        hooks_.on_yield(endpoint_id(request.endpoint()), request.slots());
+        hooks_.on_yield_request(endpoint_id(request.endpoint()), request.slots());
 }
 
-// Each slot is asked of the gateway that has most batch items there.
-void usage_link::relay_yield(const schema::yield_request& request) {
+// Asks, slot by slot, the gateway that has most batch items at the endpoint.
+void usage_coordinator::forward_yield_request(const schema::yield_request& request) {
     for (std::uint32_t i = 0; i < request.slots(); ++i) {
         const std::optional<policy::yield_target> target =
             exchange_.choose_yielding(endpoint_id(request.endpoint()), request.relayed());
         if (!target)
             return;
         if (target->gateway == self_) {
-            hooks_.on_yield(endpoint_id(request.endpoint()), 1);
+            hooks_.on_yield_request(endpoint_id(request.endpoint()), 1);
             continue;
         }
         schema::envelope envelope;
