--- a/include/cassia/gateway/item_runner.h
+++ b/include/cassia/gateway/item_runner.h
@@ -1,5 +1,6 @@
-/// Runs batch items of forwarded jobs: leases them, runs them in free slots, yields to online
-/// requests and goes on later behind the last whole event, and reports how they ended.
+/// Runs items of batch jobs: leases items from the keepers, runs them in free slots, yields slots
+/// to online requests, resumes interrupted items after their last complete event and reports
+/// results.
 #pragma once
 
 #include "cassia/base/clock.h"
@@ -28,71 +29,77 @@
     using lease_done = std::function<void(const std::vector<schema::leased_item>&)>;
     using report_done = std::function<void(bool durable)>;
 
-    /// Asks for items of a route.
+    /// Requests leases of at most `limit` items of a batch route.
     std::function<void(const std::string& route, std::uint32_t limit, lease_done)> lease;
-    /// Reports ends of items until they are durable.
+    /// Reports the ends and the progress of items to the keepers.
     std::function<void(const schema::items_end&, report_done)> report;
 };
 
 class item_runner {
 public:
+    /// \param max_items no more leases are requested while this many items are held.
     item_runner(net::raw_client& client, policy::slot_table& slots, metrics& counts,
-                header_names names, std::uint32_t window, item_runner_hooks hooks);
+                header_names names, std::uint32_t max_items, item_runner_hooks hooks);
     ~item_runner();
 
     void set_routes(std::shared_ptr<const routes::table> table);
     void tick(instant now, wall_time wall);
-    /// Stops items at an endpoint, newest first; they go on later. \returns how many.
+    /// Interrupts items at an endpoint, those started last first; they are resumed later.
+    /// \returns how many.
     std::uint32_t yield(const endpoint_id& endpoint, std::uint32_t slots);
     void cancel_jobs(const std::set<job_id>& jobs);
-    /// Stops items whose lease has gone to somebody else.
+    /// Drops items whose leases were lost.
     void drop_stale(const schema::stale_items& stale);
-    /// Takes no new items and gives back those that are held.
-    void leave();
-    /// The items held, to be told to the group's leader.
+    /// Returns all items and requests no more leases.
+    void shut_down();
+    /// The items held, including those whose end is not yet durable.
     schema::held_items held() const;
     std::size_t size() const { return items_.size(); }
+    /// Number of reports that are not yet durable.
     std::size_t unreported() const;
     std::size_t running() const;
 
 private:
-    using item_key = std::pair<job_id, std::uint32_t>;
+    using item_key = std::pair<job_id, std::uint32_t>; ///< job and ordinal of the item
     struct held_item;
 
-    void ask_for_items(instant now);
+    void request_leases(instant now);
     void add(const schema::leased_item& leased);
-    void start_ready(instant now);
+    void start_ready_items(instant now);
     bool start(const item_key& key, held_item& item, instant now);
-    net::raw_request request_for(const held_item& item, const endpoint_id& endpoint) const;
+    net::raw_request make_upstream_request(const held_item& item,
+                                           const endpoint_id& endpoint) const;
     void on_head(const item_key& key, const net::raw_head& head);
-    void on_piece(const item_key& key, std::string_view bytes);
+    void on_body(const item_key& key, std::string_view bytes);
     void on_end(const item_key& key);
     void on_failure(const item_key& key, const net::raw_failure& failure);
-    bool keep_events(held_item& item, std::string_view bytes);
+    /// Appends complete events to the item's text. \returns false if one is out of order.
+    bool append_events(held_item& item, std::string_view bytes);
     void stop(held_item& item);
-    void put_back(held_item& item, milliseconds pause, const std::string& cause);
-    void end(const item_key& key, schema::item_status status, bool failed_run,
-             const std::string& cause);
-    void check_silence(instant now);
+    /// Stops an item and makes it ready to start again after a delay.
+    void requeue(held_item& item, milliseconds delay, const std::string& cause);
+    void finish(const item_key& key, schema::item_status status, bool failed_run,
+                const std::string& cause);
+    void check_inactivity(instant now);
     void save_progress(instant now);
     void send_reports();
-    const schema::route* route_of(const held_item& item) const;
+    const schema::route* find_route(const held_item& item) const;
 
     net::raw_client& client_;
     policy::slot_table& slots_;
     metrics& metrics_;
     header_names names_;
-    std::uint32_t window_;
+    std::uint32_t max_items_;
     item_runner_hooks hooks_;
-    std::shared_ptr<const routes::table> table_;
+    std::shared_ptr<const routes::table> routes_;
     std::map<item_key, std::unique_ptr<held_item>> items_;
-    schema::items_end ends_;     ///< not yet on their way
-    schema::items_end reported_; ///< on their way until they are durable
-    bool reporting_ = false;
-    bool asking_ = false;
-    instant ask_at_{};
-    bool leaving_ = false;
-    std::uint64_t starts_ = 0;
+    schema::items_end unsent_ends_;
+    schema::items_end ends_in_flight_; ///< sent, but not yet durable
+    bool report_in_flight_ = false;
+    bool lease_in_flight_ = false;
+    instant next_lease_at_{};
+    bool shutting_down_ = false;
+    std::uint64_t starts_ = 0; ///< items started so far
     std::mt19937_64 random_;
 };
 
--- a/lib/gateway/held_item.h
+++ b/lib/gateway/held_item.h
@@ -1,4 +1,4 @@
-/// One batch item that this gateway holds a lease of.
+/// State of one batch item that this gateway has leased.
 #pragma once
 
 #include "cassia/base/clock.h"
@@ -14,21 +14,21 @@
 
 struct item_runner::held_item {
     schema::leased_item leased;
-    call_id attempt; ///< none while it waits
+    call_id upstream_call; ///< the request to the endpoint; none while the item is not running
     endpoint_id endpoint;
-    std::set<endpoint_id> avoided;
-    instant ready_at{};
-    instant progress_at{};
-    std::uint64_t started = 0; ///< counts up over all starts; the newest yield first
-    std::uint32_t runs = 0;
-    int status = 0;       ///< of the answer that is coming in
-    bool not_run = false; ///< the endpoint says so
+    std::set<endpoint_id> failed_endpoints; ///< those that failed or refused this item
+    instant ready_at{};                     ///< not started again before then
+    instant last_progress_at{};             ///< when the endpoint last sent something
+    std::uint64_t start_number = 0;         ///< grows with each start of any item
+    std::uint32_t runs = 0;                 ///< starts of this item by this gateway
+    int status = 0;                         ///< of the response that is being received
+    bool not_run = false;                   ///< the response says that the item was not run
 
-    sse_parser events;
+    sse_parser parser;
     std::uint64_t last_event = 0;
-    std::uint64_t saved_event = 0; ///< last one that the store has
+    std::uint64_t saved_event = 0; ///< last event that was reported to the keepers
     instant saved_at{};
-    std::string text; ///< data of all whole events, joined by line feeds
+    std::string text; ///< data of all complete events, joined by line feeds
 };
 
 } // namespace cassia::gateway
--- a/lib/gateway/item_responses.cpp
+++ b/lib/gateway/item_responses.cpp
@@ -1,4 +1,4 @@
-// What endpoints answer to batch items.
+// Responses of endpoints to batch items.
 
 #include "cassia/base/log.h"
 #include "cassia/gateway/item_runner.h"
@@ -11,13 +11,13 @@
 namespace {
 constexpr int status_ok = 200;
 constexpr int status_misdirected = 421;
-constexpr int status_impossible = 422;
-constexpr int status_failed = 500;
-// An endpoint that is full or gone is left alone for a moment.
-constexpr milliseconds refused_pause(100);
-// Items that break the connection may be what breaks the endpoint: each further run waits longer.
-constexpr milliseconds broken_pause(150);
-constexpr std::uint32_t most_pauses = 20;
+constexpr int status_unprocessable = 422;
+constexpr int status_server_error = 500;
+// Delay before an item that an endpoint refused is started again.
+constexpr milliseconds refused_delay(100);
+// An item whose connection broke may itself crash endpoints: the delay grows with each run.
+constexpr milliseconds failure_delay(150);
+constexpr std::uint32_t max_delay_factor = 20;
 } // namespace
 
 void item_runner::on_head(const item_key& key, const net::raw_head& head) {
@@ -25,37 +25,38 @@
     if (found == items_.end())
         return;
     held_item& item = *found->second;
-    item.progress_at = monotonic_now();
+    item.last_progress_at = monotonic_now();
     item.not_run = head.fields.has(names_.not_run) || head.status == status_misdirected;
     item.status = head.status;
     slots_.trust(item.endpoint);
     if (item.not_run)
         return;
-    const bool own = head.fields.find(names_.request_id) == item.leased.item().custom_id();
-    const bool proved = head.fields.has(names_.stamp) && !head.fields.has("Content-Encoding");
-    if (own && (proved || head.status != status_ok))
+    const bool is_own_response =
+        head.fields.find(names_.request_id) == item.leased.item().custom_id();
+    const bool is_stamped = head.fields.has(names_.stamp) && !head.fields.has("Content-Encoding");
+    if (is_own_response && (is_stamped || head.status != status_ok))
         return;
-    item.avoided.insert(item.endpoint);
-    put_back(item, refused_pause, "answer_not_its_own");
+    item.failed_endpoints.insert(item.endpoint);
+    requeue(item, refused_delay, "answer_not_its_own");
 }
 
-void item_runner::on_piece(const item_key& key, std::string_view bytes) {
+void item_runner::on_body(const item_key& key, std::string_view bytes) {
     auto found = items_.find(key);
     if (found == items_.end())
         return;
     held_item& item = *found->second;
-    item.progress_at = monotonic_now();
+    item.last_progress_at = monotonic_now();
     if (item.not_run || item.status != status_ok)
         return;
-    if (!keep_events(item, bytes)) {
-        // What came doesn't go on behind what is there; another run does.
-        item.avoided.insert(item.endpoint);
-        put_back(item, refused_pause, "event_out_of_order");
+    if (!append_events(item, bytes)) {
+        // The events do not follow the last one received; another run resumes after that one.
+        item.failed_endpoints.insert(item.endpoint);
+        requeue(item, refused_delay, "event_out_of_order");
     }
 }
 
-bool item_runner::keep_events(held_item& item, std::string_view bytes) {
-    for (const sse_event& event : item.events.feed(bytes)) {
+bool item_runner::append_events(held_item& item, std::string_view bytes) {
+    for (const sse_event& event : item.parser.feed(bytes)) {
         if (event.id == 0)
             continue;
         if (event.id != item.last_event + 1)
@@ -74,24 +75,24 @@
         return;
     held_item& item = *found->second;
     if (item.not_run) {
-        item.avoided.insert(item.endpoint);
-        put_back(item, refused_pause, "refused_by_endpoint");
+        item.failed_endpoints.insert(item.endpoint);
+        requeue(item, refused_delay, "refused_by_endpoint");
         return;
     }
-    if (item.status == status_ok && !item.events.has_partial_event() && item.last_event > 0) {
-        end(key, schema::completed, false, "done");
+    if (item.status == status_ok && !item.parser.has_partial_event() && item.last_event > 0) {
+        finish(key, schema::completed, false, "done");
         return;
     }
-    if (item.status == status_impossible) {
-        end(key, schema::failed, false, "impossible");
+    if (item.status == status_unprocessable) {
+        finish(key, schema::failed, false, "impossible");
         return;
     }
-    if (item.status == status_failed) {
-        end(key, schema::pending, true, "endpoint_failed");
+    if (item.status == status_server_error) {
+        finish(key, schema::pending, true, "endpoint_failed");
         return;
     }
-    item.avoided.insert(item.endpoint);
-    put_back(item, broken_pause, "status_" + std::to_string(item.status));
+    item.failed_endpoints.insert(item.endpoint);
+    requeue(item, failure_delay, "status_" + std::to_string(item.status));
 }
 
 void item_runner::on_failure(const item_key& key, const net::raw_failure& failure) {
@@ -99,16 +100,17 @@
     if (found == items_.end())
         return;
     held_item& item = *found->second;
-    item.avoided.insert(item.endpoint);
+    item.failed_endpoints.insert(item.endpoint);
     const bool stale_connection = failure.kept && !failure.answered;
     if (!stale_connection)
         slots_.suspect(item.endpoint, monotonic_now());
-    const std::uint32_t pauses = std::min(item.runs, most_pauses);
-    put_back(item, stale_connection ? milliseconds(0) : broken_pause * pauses, failure.cause.text);
+    const std::uint32_t delay_factor = std::min(item.runs, max_delay_factor);
+    requeue(item, stale_connection ? milliseconds(0) : failure_delay * delay_factor,
+            failure.cause.text);
 }
 
-void item_runner::end(const item_key& key, schema::item_status status, bool failed_run,
-                      const std::string& cause) {
+void item_runner::finish(const item_key& key, schema::item_status status, bool failed_run,
+                         const std::string& cause) {
     auto found = items_.find(key);
     if (found == items_.end())
         return;
@@ -123,18 +125,18 @@
         .with("events", item.last_event)
         .with("status", schema::item_status_Name(status))
         .with("cause", cause);
-    schema::item_end* out = ends_.add_ends();
-    out->set_job(key.first.str());
-    out->set_ordinal(key.second);
-    out->set_attempt(item.leased.attempt());
-    out->set_status(status);
-    out->set_failed_run(failed_run);
-    out->set_endpoint(item.endpoint.str());
-    out->set_http_status(static_cast<std::uint32_t>(item.status));
+    schema::item_end* ended = unsent_ends_.add_ends();
+    ended->set_job(key.first.str());
+    ended->set_ordinal(key.second);
+    ended->set_attempt(item.leased.attempt());
+    ended->set_status(status);
+    ended->set_failed_run(failed_run);
+    ended->set_endpoint(item.endpoint.str());
+    ended->set_http_status(static_cast<std::uint32_t>(item.status));
     if (status == schema::pending)
-        out->set_events(item.last_event);
-    if (status == schema::completed || out->events() > 0)
-        out->set_body(std::move(item.text));
+        ended->set_events(item.last_event);
+    if (status == schema::completed || ended->events() > 0)
+        ended->set_body(std::move(item.text));
     metrics_.count("items_ended");
     items_.erase(found);
 }
--- a/lib/gateway/item_runner.cpp
+++ b/lib/gateway/item_runner.cpp
@@ -1,4 +1,4 @@
-// Which items run, where, and when they stop.
+// Leasing, placement, interruption and reporting of batch items.
 
 #include "cassia/gateway/item_runner.h"
 
@@ -15,102 +15,109 @@
 namespace cassia::gateway {
 
 namespace {
-// Items wait in the store, where every gateway can take them; here only so many as can start soon.
-constexpr std::uint32_t most_ready = 2;
-constexpr milliseconds ask_interval(100);
-// What an entry that dies has of an item beyond this is made again.
+// Items that wait at this gateway. Few, because other gateways can lease only what the keepers
+// hold.
+constexpr std::uint32_t max_ready = 2;
+constexpr milliseconds lease_interval(100);
+// Interval at which the progress of running items is saved. If the gateway crashes, what came after
+// is run again.
 constexpr milliseconds progress_interval(2000);
-// With nothing to be had the question is repeated less often: it costs the leader time.
-constexpr milliseconds ask_interval_idle(300);
-// An endpoint that sends nothing for this long is taken for silent: an event comes every 20 ms or
-// so, and a slot that was thought free may have others waiting before it.
-constexpr milliseconds silence_limit(1500);
-// Past this time an item is given up; clocks of VMs differ by seconds.
-constexpr std::uint64_t clock_slack_ms = 5000;
+// Interval after a reply without items; longer, because each request costs the leader time.
+constexpr milliseconds lease_interval_idle(300);
+// An endpoint that sends nothing for this long is considered inactive. Events come about every 20
+// ms, but at a slot that only seemed free the item may first wait for other requests.
+constexpr milliseconds inactivity_timeout(1500);
+// Items are abandoned only this long after their time limit, as the clocks of VMs differ by
+// seconds.
+constexpr std::uint64_t max_clock_skew_ms = 5000;
 } // namespace
 
 item_runner::item_runner(net::raw_client& client, policy::slot_table& slots, metrics& counts,
-                         header_names names, std::uint32_t window, item_runner_hooks hooks)
-    : client_(client), slots_(slots), metrics_(counts), names_(std::move(names)), window_(window),
-      hooks_(std::move(hooks)), random_(random_bits()) {}
+                         header_names names, std::uint32_t max_items, item_runner_hooks hooks)
+    : client_(client), slots_(slots), metrics_(counts), names_(std::move(names)),
+      max_items_(max_items), hooks_(std::move(hooks)), random_(random_bits()) {}
 
 item_runner::~item_runner() = default;
 
 void item_runner::set_routes(std::shared_ptr<const routes::table> table) {
-    table_ = std::move(table);
+    routes_ = std::move(table);
 }
 
 std::size_t item_runner::running() const {
     return static_cast<std::size_t>(
-        std::count_if(items_.begin(), items_.end(),
-                      [](const auto& one) { return one.second->attempt != call_id(); }));
+        std::count_if(items_.begin(), items_.end(), [](const auto& keyed_item) {
+            return keyed_item.second->upstream_call != call_id();
+        }));
 }
 
 std::size_t item_runner::unreported() const {
-    return static_cast<std::size_t>(ends_.ends_size()) +
-           static_cast<std::size_t>(reported_.ends_size());
+    return static_cast<std::size_t>(unsent_ends_.ends_size()) +
+           static_cast<std::size_t>(ends_in_flight_.ends_size());
 }
 
-// Jobs of earlier versions have the host in place of a team.
+// Jobs stored by earlier versions have no host; their team is the host.
 static const std::string& host_of(const schema::leased_item& item) {
     return item.host().empty() ? item.team() : item.host();
 }
 
-const schema::route* item_runner::route_of(const held_item& item) const {
-    if (!table_)
+const schema::route* item_runner::find_route(const held_item& item) const {
+    if (!routes_)
         return nullptr;
-    return table_->match(host_of(item.leased), net::path_of(item.leased.item().url()));
+    return routes_->match(host_of(item.leased), net::path_of(item.leased.item().url()));
 }
 
 void item_runner::tick(instant now, wall_time wall) {
     std::vector<item_key> overdue;
-    for (const std::pair<const item_key, std::unique_ptr<held_item>>& one : items_) {
-        const std::uint64_t abandon_at = one.second->leased.abandon_at();
-        const bool idle = one.second->attempt == call_id();
-        if (idle && abandon_at != 0 && to_unix_ms(wall) > abandon_at + clock_slack_ms)
-            overdue.push_back(one.first);
+    for (const std::pair<const item_key, std::unique_ptr<held_item>>& keyed_item : items_) {
+        const std::uint64_t abandon_at = keyed_item.second->leased.abandon_at();
+        const bool waits = keyed_item.second->upstream_call == call_id();
+        if (waits && abandon_at != 0 && to_unix_ms(wall) > abandon_at + max_clock_skew_ms)
+            overdue.push_back(keyed_item.first);
     }
     for (const item_key& key : overdue)
-        end(key, schema::failed, false, "abandoned");
-    check_silence(now);
+        finish(key, schema::failed, false, "abandoned");
+    check_inactivity(now);
     save_progress(now);
-    start_ready(now);
-    ask_for_items(now);
+    start_ready_items(now);
+    request_leases(now);
     send_reports();
 }
 
-// Each gateway takes its part of the room: all see the same room, and together they would fill it
-// many times over.
-void item_runner::ask_for_items(instant now) {
-    if (leaving_ || asking_ || !table_ || now < ask_at_ || items_.size() >= window_)
+// Requests a few items at a time: all gateways see the same free slots, and together they would
+// lease many times as many items as there are slots.
+void item_runner::request_leases(instant now) {
+    if (shutting_down_ || lease_in_flight_ || !routes_ || now < next_lease_at_ ||
+        items_.size() >= max_items_)
         return;
     const std::size_t ready = items_.size() - running();
-    if (ready >= most_ready)
+    if (ready >= max_ready)
         return;
-    for (const schema::route* route : table_->of_kind(schema::route::batch)) {
+    for (const schema::route* route : routes_->of_kind(schema::route::batch)) {
         const service_id service(route->targets(0).service());
         const std::uint32_t room = slots_.batch_room(service, now);
         if (room == 0)
             continue;
-        const std::uint32_t limit = std::min(room, most_ready - static_cast<std::uint32_t>(ready));
-        asking_ = true;
+        const std::uint32_t limit = std::min(room, max_ready - static_cast<std::uint32_t>(ready));
+        lease_in_flight_ = true;
         hooks_.lease(route->name(), limit, [this](const std::vector<schema::leased_item>& items) {
-            asking_ = false;
-            ask_at_ = monotonic_now() + (items.empty() ? ask_interval_idle : milliseconds(0));
-            for (const schema::leased_item& one : items)
-                add(one);
-            start_ready(monotonic_now());
+            lease_in_flight_ = false;
+            next_lease_at_ =
+                monotonic_now() + (items.empty() ? lease_interval_idle : milliseconds(0));
+            for (const schema::leased_item& item : items)
+                add(item);
+            start_ready_items(monotonic_now());
         });
     }
-    if (!asking_)
-        ask_at_ = now + ask_interval;
+    if (!lease_in_flight_)
+        next_lease_at_ = now + lease_interval;
 }
 
 void item_runner::add(const schema::leased_item& leased) {
     const item_key key{job_id(leased.job()), leased.ordinal()};
     auto found = items_.find(key);
     if (found != items_.end()) {
-        // Leased anew after a report that is still under way; that run's word counts no more.
+        // The item was leased again while a report of its previous lease is in flight; that lease
+        // is no longer valid.
         stop(*found->second);
         items_.erase(found);
     }
@@ -128,31 +135,31 @@
     items_[key] = std::move(item);
 }
 
-void item_runner::start_ready(instant now) {
-    const std::uint64_t at = to_unix_ms(wall_now());
+void item_runner::start_ready_items(instant now) {
+    const std::uint64_t unix_ms = to_unix_ms(wall_now());
     std::vector<std::tuple<bool, std::uint64_t, item_key>> ready;
-    for (const std::pair<const item_key, std::unique_ptr<held_item>>& one : items_) {
-        if (one.second->attempt == call_id() && now >= one.second->ready_at)
-            ready.emplace_back(policy::is_late(one.second->leased.deadline(), at),
-                               one.second->leased.deadline(), one.first);
+    for (const std::pair<const item_key, std::unique_ptr<held_item>>& keyed_item : items_) {
+        if (keyed_item.second->upstream_call == call_id() && now >= keyed_item.second->ready_at)
+            ready.emplace_back(policy::is_late(keyed_item.second->leased.deadline(), unix_ms),
+                               keyed_item.second->leased.deadline(), keyed_item.first);
     }
     std::sort(ready.begin(), ready.end());
-    for (const std::tuple<bool, std::uint64_t, item_key>& one : ready) {
-        const item_key& key = std::get<item_key>(one);
+    for (const std::tuple<bool, std::uint64_t, item_key>& candidate : ready) {
+        const item_key& key = std::get<item_key>(candidate);
         if (!start(key, *items_.at(key), now))
             return;
     }
 }
 
-net::raw_request item_runner::request_for(const held_item& item,
-                                          const endpoint_id& endpoint) const {
+net::raw_request item_runner::make_upstream_request(const held_item& item,
+                                                    const endpoint_id& endpoint) const {
     const schema::item_body& source = item.leased.item();
     net::raw_request request;
     request.method = "POST";
     request.target = source.url();
     request.fields.add("Host", host_of(item.leased));
-    for (const schema::header_field& one : source.headers())
-        request.fields.add(one.name(), one.value());
+    for (const schema::header_field& header : source.headers())
+        request.fields.add(header.name(), header.value());
     request.fields.erase_hop_by_hop();
     set_team_header(request.fields, names_, item.leased.has_team() ? item.leased.team() : "");
     request.fields.set(names_.request_id, source.custom_id());
@@ -163,55 +170,55 @@
     return request;
 }
 
-// \returns false if there is no room for any item now.
+// \returns false if there is no free slot now.
 bool item_runner::start(const item_key& key, held_item& item, instant now) {
-    const schema::route* route = route_of(item);
+    const schema::route* route = find_route(item);
     if (route == nullptr) {
-        if (table_)
-            end(key, schema::failed, false, "route_gone");
+        if (routes_)
+            finish(key, schema::failed, false, "route_gone");
         return true;
     }
-    std::uniform_real_distribution<double> draw(0, 1);
-    const service_id service(routes::choose_target(*route, draw(random_)));
-    const std::optional<policy::placement> place = slots_.place_batch(
-        service, item.avoided, now, draw(random_),
+    std::uniform_real_distribution<double> uniform(0, 1);
+    const service_id service(routes::choose_target(*route, uniform(random_)));
+    const std::optional<policy::placement> placement = slots_.place_batch(
+        service, item.failed_endpoints, now, uniform(random_),
         policy::is_urgent(item.leased.deadline(), route->result_due_ms(), to_unix_ms(wall_now())));
-    if (!place) {
-        item.avoided.clear();
+    if (!placement) {
+        item.failed_endpoints.clear();
         return false;
     }
-    slots_.take(place->endpoint, policy::work_kind::batch);
-    item.endpoint = place->endpoint;
-    item.progress_at = now;
-    item.started = ++starts_;
-    item.events.reset();
+    slots_.take(placement->endpoint, policy::work_kind::batch);
+    item.endpoint = placement->endpoint;
+    item.last_progress_at = now;
+    item.start_number = ++starts_;
+    item.parser.reset();
     item.status = 0;
     item.not_run = false;
     ++item.runs;
     metrics_.count(item.last_event > 0 ? "items_resumed" : "items_started");
     net::raw_call_hooks hooks;
     hooks.on_head = [this, key](const net::raw_head& head) { on_head(key, head); };
-    hooks.on_piece = [this, key](std::string_view bytes) { on_piece(key, bytes); };
+    hooks.on_piece = [this, key](std::string_view bytes) { on_body(key, bytes); };
     hooks.on_end = [this, key] { on_end(key); };
     hooks.on_failure = [this, key](const net::raw_failure& failure) { on_failure(key, failure); };
     net::raw_call call;
-    call.to = place->address;
-    call.request = request_for(item, place->endpoint);
-    item.attempt = client_.start(std::move(call), std::move(hooks));
+    call.to = placement->address;
+    call.request = make_upstream_request(item, placement->endpoint);
+    item.upstream_call = client_.start(std::move(call), std::move(hooks));
     return true;
 }
 
 void item_runner::stop(held_item& item) {
-    if (item.attempt == call_id())
+    if (item.upstream_call == call_id())
         return;
-    client_.cancel(item.attempt);
-    item.attempt = call_id();
+    client_.cancel(item.upstream_call);
+    item.upstream_call = call_id();
     slots_.release(item.endpoint, policy::work_kind::batch);
 }
 
-void item_runner::put_back(held_item& item, milliseconds pause, const std::string& cause) {
+void item_runner::requeue(held_item& item, milliseconds delay, const std::string& cause) {
     stop(item);
-    item.ready_at = monotonic_now() + pause;
+    item.ready_at = monotonic_now() + delay;
     log_info("item_interrupted")
         .with("item", item.leased.item().custom_id())
         .with("endpoint", item.endpoint.str())
@@ -221,39 +228,41 @@
 }
 
 std::uint32_t item_runner::yield(const endpoint_id& endpoint, std::uint32_t slots) {
-    std::vector<held_item*> there;
-    for (const std::pair<const item_key, std::unique_ptr<held_item>>& one : items_) {
-        if (one.second->attempt != call_id() && one.second->endpoint == endpoint)
-            there.push_back(one.second.get());
+    std::vector<held_item*> candidates;
+    for (const std::pair<const item_key, std::unique_ptr<held_item>>& keyed_item : items_) {
+        if (keyed_item.second->upstream_call != call_id() &&
+            keyed_item.second->endpoint == endpoint)
+            candidates.push_back(keyed_item.second.get());
     }
-    std::sort(there.begin(), there.end(),
-              [](const held_item* a, const held_item* b) { return a->started > b->started; });
-    const std::size_t count = std::min<std::size_t>(slots, there.size());
+    std::sort(candidates.begin(), candidates.end(), [](const held_item* a, const held_item* b) {
+        return a->start_number > b->start_number;
+    });
+    const std::size_t count = std::min<std::size_t>(slots, candidates.size());
     for (std::size_t i = 0; i < count; ++i)
-        put_back(*there[i], milliseconds(0), "yielded");
+        requeue(*candidates[i], milliseconds(0), "yielded");
     metrics_.count("items_yielded", count);
     return static_cast<std::uint32_t>(count);
 }
 
 void item_runner::cancel_jobs(const std::set<job_id>& jobs) {
     std::vector<item_key> keys;
-    for (const std::pair<const item_key, std::unique_ptr<held_item>>& one : items_) {
-        if (jobs.count(one.first.first) > 0)
-            keys.push_back(one.first);
+    for (const std::pair<const item_key, std::unique_ptr<held_item>>& keyed_item : items_) {
+        if (jobs.count(keyed_item.first.first) > 0)
+            keys.push_back(keyed_item.first);
     }
     for (const item_key& key : keys) {
-        items_.at(key)->last_event = 0; // nobody goes on with it
-        end(key, schema::pending, false, "job_ended");
+        items_.at(key)->last_event = 0; // the item will not be resumed
+        finish(key, schema::pending, false, "job_ended");
     }
     send_reports();
 }
 
-// Nothing is reported: whoever has the lease now will.
+// Nothing is reported: the gateway that has the lease now will do so.
 void item_runner::drop_stale(const schema::stale_items& stale) {
     for (const schema::held_job& job : stale.jobs()) {
         for (int i = 0; i < job.ordinals_size(); ++i) {
             auto found = items_.find({job_id(job.job()), job.ordinals(i)});
-            // Leased to this gateway anew since it told what it holds.
+            // The item was leased to this gateway again after it sent the list of items held.
             if (found == items_.end() || found->second->leased.attempt() != job.attempts(i))
                 continue;
             stop(*found->second);
@@ -268,13 +277,13 @@
     }
 }
 
-void item_runner::leave() {
-    leaving_ = true;
+void item_runner::shut_down() {
+    shutting_down_ = true;
     std::vector<item_key> keys;
-    for (const std::pair<const item_key, std::unique_ptr<held_item>>& one : items_)
-        keys.push_back(one.first);
+    for (const std::pair<const item_key, std::unique_ptr<held_item>>& keyed_item : items_)
+        keys.push_back(keyed_item.first);
     for (const item_key& key : keys)
-        end(key, schema::pending, false, "leaving");
+        finish(key, schema::pending, false, "leaving");
     send_reports();
 }
 
@@ -282,61 +291,63 @@
     schema::held_items out;
     const auto add_item = [&out](const std::string& job, std::uint32_t ordinal,
                                  std::uint32_t attempt) {
-        const bool same = out.jobs_size() > 0 && out.jobs(out.jobs_size() - 1).job() == job;
-        schema::held_job* held = same ? out.mutable_jobs(out.jobs_size() - 1) : out.add_jobs();
+        const bool is_last_job = out.jobs_size() > 0 && out.jobs(out.jobs_size() - 1).job() == job;
+        schema::held_job* held =
+            is_last_job ? out.mutable_jobs(out.jobs_size() - 1) : out.add_jobs();
         held->set_job(job);
         held->add_ordinals(ordinal);
         held->add_attempts(attempt);
     };
-    for (const std::pair<const item_key, std::unique_ptr<held_item>>& one : items_)
-        add_item(one.first.first.str(), one.first.second, one.second->leased.attempt());
-    for (const schema::item_end& one : ends_.ends())
-        add_item(one.job(), one.ordinal(), one.attempt());
-    for (const schema::item_end& one : reported_.ends())
-        add_item(one.job(), one.ordinal(), one.attempt());
+    for (const std::pair<const item_key, std::unique_ptr<held_item>>& keyed_item : items_)
+        add_item(keyed_item.first.first.str(), keyed_item.first.second,
+                 keyed_item.second->leased.attempt());
+    for (const schema::item_end& ended : unsent_ends_.ends())
+        add_item(ended.job(), ended.ordinal(), ended.attempt());
+    for (const schema::item_end& ended : ends_in_flight_.ends())
+        add_item(ended.job(), ended.ordinal(), ended.attempt());
     return out;
 }
 
-void item_runner::check_silence(instant now) {
-    for (const std::pair<const item_key, std::unique_ptr<held_item>>& one : items_) {
-        held_item& item = *one.second;
-        if (item.attempt == call_id() || now - item.progress_at < silence_limit)
+void item_runner::check_inactivity(instant now) {
+    for (const std::pair<const item_key, std::unique_ptr<held_item>>& keyed_item : items_) {
+        held_item& item = *keyed_item.second;
+        if (item.upstream_call == call_id() || now - item.last_progress_at < inactivity_timeout)
             continue;
-        item.avoided.insert(item.endpoint);
+        item.failed_endpoints.insert(item.endpoint);
         slots_.suspect(item.endpoint, now);
-        put_back(item, milliseconds(0), "endpoint_silent");
+        requeue(item, milliseconds(0), "endpoint_silent");
     }
 }
 
-// Seldom enough that an item's text goes to the store about twice as a whole.
+// Saves rarely, because each time the whole text is sent: on average it is sent about twice.
 void item_runner::save_progress(instant now) {
-    for (const std::pair<const item_key, std::unique_ptr<held_item>>& one : items_) {
-        held_item& item = *one.second;
+    for (const std::pair<const item_key, std::unique_ptr<held_item>>& keyed_item : items_) {
+        held_item& item = *keyed_item.second;
         if (item.last_event == item.saved_event || now - item.saved_at < progress_interval)
             continue;
         item.saved_event = item.last_event;
         item.saved_at = now;
-        schema::item_end* out = ends_.add_ends();
-        out->set_job(one.first.first.str());
-        out->set_ordinal(one.first.second);
-        out->set_attempt(item.leased.attempt());
-        out->set_status(schema::leased);
-        out->set_body(item.text);
-        out->set_events(item.last_event);
+        schema::item_end* progress = unsent_ends_.add_ends();
+        progress->set_job(keyed_item.first.first.str());
+        progress->set_ordinal(keyed_item.first.second);
+        progress->set_attempt(item.leased.attempt());
+        progress->set_status(schema::leased);
+        progress->set_body(item.text);
+        progress->set_events(item.last_event);
     }
 }
 
-// One report at a time: those that end meanwhile share the next one.
+// Sends one report at a time; items that end meanwhile go into the next one.
 void item_runner::send_reports() {
-    if (reporting_ || (ends_.ends_size() == 0 && reported_.ends_size() == 0))
+    if (report_in_flight_ || (unsent_ends_.ends_size() == 0 && ends_in_flight_.ends_size() == 0))
         return;
-    reported_.MergeFrom(ends_);
-    ends_.Clear();
-    reporting_ = true;
-    hooks_.report(reported_, [this](bool durable) {
-        reporting_ = false;
+    ends_in_flight_.MergeFrom(unsent_ends_);
+    unsent_ends_.Clear();
+    report_in_flight_ = true;
+    hooks_.report(ends_in_flight_, [this](bool durable) {
+        report_in_flight_ = false;
         if (durable)
-            reported_.Clear();
+            ends_in_flight_.Clear();
         send_reports();
     });
 }
--- a/lib/gateway/service.cpp
+++ b/lib/gateway/service.cpp
@@ -352,7 +352,7 @@
     shutdown_began_at_ = monotonic_now();
     log_info("gateway_stopping").with("open", server_->open_exchanges());
     cluster_->leave();
-    items_->leave();
+    items_->shut_down();
     server_->wind_down(idle_connection_grace);
     const milliseconds grace(static_cast<std::int64_t>(settings_.grace_s() * ms_per_s));
     const instant stop_at = shutdown_began_at_ + std::max(grace - shutdown_margin, milliseconds(0));
