--- a/include/cassia/gateway/dispatcher.h
+++ b/include/cassia/gateway/dispatcher.h
@@ -37,7 +37,8 @@
 constexpr int status_bad_gateway = 502;
 
 /// Longest time that an event is held back to be sent together with later ones. This is a fraction
-/// of the 120 ms allowed for forwarding, and two to three events at the pace of an idle endpoint.
+/// of the 120 ms allowed for forwarding, and two to three events at the pace of an endpoint under
+/// light load.
 constexpr milliseconds max_event_delay(40);
 
 class dispatcher {
--- a/lib/gateway/cluster_client.cpp
+++ b/lib/gateway/cluster_client.cpp
@@ -13,8 +13,7 @@
 constexpr milliseconds hello_interval(250);
 constexpr milliseconds tick_interval(50);
 constexpr milliseconds keeper_expiry(10000);
-// Beacons of work keepers tell only that they live, which groups they lead and which jobs must
-// stop.
+// Work keepers report only that they live, which groups they lead and which jobs must stop.
 constexpr std::uint32_t rounds_per_work_keeper_hello = 4;
 // All keepers of the control group tell the same. The others get a hello so that another one can be
 // followed at once, and in case that the one followed lags behind.
--- a/lib/gateway/dispatch_migration.cpp
+++ b/lib/gateway/dispatch_migration.cpp
@@ -91,8 +91,8 @@
     call.resume_source = kv_cache_copy{};
 }
 
-// Called when the stream ends. While a migration is pending, its response decides what follows.
-// \returns whether one is pending.
+// Called when the stream ends early. While a migration is pending, its response decides what
+// follows. \returns whether one is pending.
 bool dispatcher::defer_end_to_migration(online_call& call) {
     if (call.migration.pending_call == call_id())
         return false;
--- a/lib/gateway/dispatch_responses.cpp
+++ b/lib/gateway/dispatch_responses.cpp
@@ -90,11 +90,11 @@
 void dispatcher::buffer_event(online_call& call, const std::string& event) {
     const instant now = monotonic_now();
     // The caller is waiting for the first event, and for one that follows a long pause.
-    const bool first = now - call.last_event_at >= max_event_delay;
+    const bool is_awaited = now - call.last_event_at >= max_event_delay;
     if (call.buffered_events.empty())
         call.buffered_since = now;
     call.buffered_events.append(event);
-    if (first || now - call.buffered_since >= max_event_delay)
+    if (is_awaited || now - call.buffered_since >= max_event_delay)
         flush_events(call);
 }
 
--- a/lib/gateway/dispatch_timeouts.cpp
+++ b/lib/gateway/dispatch_timeouts.cpp
@@ -120,8 +120,7 @@
 
 // The usage reported by other gateways is up to 100 ms old, so an endpoint that seemed to have a
 // free slot may be full when the request arrives. Once that is known, one of the batch items there
-// is asked to yield. Nothing is asked if the endpoint isn't full: the request is late for another
-// reason.
+// is asked to yield. If the endpoint isn't full, another free slot would not help the request.
 void dispatcher::reclaim_slot(online_call& call, instant now) {
     const std::optional<entry_id> holder = slots_.holder_in_the_way(call.endpoint);
     if (!holder)
--- a/lib/gateway/dispatcher.cpp
+++ b/lib/gateway/dispatcher.cpp
@@ -287,11 +287,10 @@
 
 void dispatcher::log_outcome(const online_call& call, int status, const std::string& cause) const {
     const instant now = monotonic_now();
-    const auto ms_since = [](instant from, instant to) {
+    const auto ms_between = [](instant from, instant to) {
         return from == instant() ? -1 : std::chrono::duration_cast<milliseconds>(to - from).count();
     };
-    // Failures are logged as warnings, which take precedence when there are too many lines to
-    // write.
+    // Failures are logged as warnings, which take precedence if there are too many lines.
     const bool failed = status >= status_server_error;
     log_event line(failed ? log_level::warning : log_level::info, "request_ended");
     line.with("request", call.request_id)
@@ -303,11 +302,11 @@
         .with("endpoint", call.endpoint.str())
         .with("sends", call.sends)
         .with("runs", call.runs)
-        .with("queued_ms", ms_since(call.arrived_at, call.sends == 0 ? now : call.first_sent_at))
+        .with("queued_ms", ms_between(call.arrived_at, call.sends == 0 ? now : call.first_sent_at))
         .with("first_ms", call.response_began_at == instant()
                               ? -1
-                              : ms_since(call.arrived_at, call.response_began_at))
-        .with("total_ms", ms_since(call.arrived_at, now))
+                              : ms_between(call.arrived_at, call.response_began_at))
+        .with("total_ms", ms_between(call.arrived_at, now))
         .with("events", call.last_event)
         .with("pause_ms", std::chrono::duration_cast<milliseconds>(call.longest_pause).count());
 }
--- a/lib/gateway/item_runner.cpp
+++ b/lib/gateway/item_runner.cpp
@@ -15,8 +15,8 @@
 namespace cassia::gateway {
 
 namespace {
-// Items that wait at this gateway. Few, because other gateways can lease only what the keepers
-// hold.
+// Limit of items that wait for a slot at this gateway. It is low because other gateways can lease
+// only the items that are still with the keepers.
 constexpr std::uint32_t max_ready = 2;
 constexpr milliseconds lease_interval(100);
 // Interval at which the progress of running items is saved. If the gateway crashes, what came after
@@ -319,7 +319,8 @@
     }
 }
 
-// Saves rarely, because each time the whole text is sent: on average it is sent about twice.
+// Each save sends the whole text so far. The interval is long enough that an item's text is sent
+// about twice in total.
 void item_runner::save_progress(instant now) {
     for (const std::pair<const item_key, std::unique_ptr<held_item>>& keyed_item : items_) {
         held_item& item = *keyed_item.second;
