--- a/include/cassia/gateway/cluster_client.h
+++ b/include/cassia/gateway/cluster_client.h
@@ -86,8 +86,8 @@
         instant last_beacon_at{};
     };
 
-    enum class hello_scope { followed_keeper, work_keepers, all_keepers };
-    void send_hello(hello_scope scope);
+    enum class heartbeat_scope { followed_keeper, work_keepers, all_keepers };
+    void send_heartbeat(heartbeat_scope scope);
     net::peer_watch watch_for(const peer_address& keeper, const peer_address& followed) const;
     bool send_to_gateway(const entry_id& to, schema::envelope& envelope);
     void on_message(const schema::envelope& message);
@@ -126,7 +126,7 @@
     bool leaving_ = false;
     usage_coordinator usage_;
     quota_coordinator quota_;
-    std::uint32_t hello_rounds_ = 0;
+    std::uint32_t heartbeat_rounds_ = 0;
 };
 
 } // namespace cassia::gateway
--- a/include/cassia/gateway/dispatcher.h
+++ b/include/cassia/gateway/dispatcher.h
@@ -47,9 +47,11 @@
                metrics& counts, header_names names, dispatcher_hooks hooks);
     ~dispatcher();
 
-    void submit(admitted_request admitted);
+    void submit(routed_request admitted);
     /// Without a protocol runs don't migrate.
-    void set_migration_protocol(migration_protocol protocol) { migration_ = std::move(protocol); }
+    void set_migration_protocol(migration_protocol protocol) {
+        migration_protocol_ = std::move(protocol);
+    }
     /// The caller disconnected before its response was complete.
     void on_caller_gone(exchange_id id);
     /// Sends queued requests to slots that became free.
@@ -90,14 +92,14 @@
     void retry_not_run(online_call& call, const std::string& cause);
     /// The attempt may have run.
     void retry_or_fail(online_call& call, const std::string& cause);
-    void suspend_endpoint(const online_call& call, instant now);
+    void eject_endpoint(const online_call& call, instant now);
     /// Time without an event after which a stream is resumed at another endpoint with a free slot.
     microseconds stall_timeout(const online_call& call);
     /// Time without a byte after which an attempt is considered lost.
     microseconds inactivity_timeout(const online_call& call) const;
     void cancel_attempt(online_call& call);
     /// Ends the call with a response that guarantees that the request has not run.
-    void refuse(online_call& call, const std::string& cause);
+    void reject(online_call& call, const std::string& cause);
     /// Ends the call; the request may have run.
     void fail(online_call& call, int status, const std::string& cause);
     void check_timeouts(online_call& call, instant now);
@@ -110,7 +112,7 @@
     metrics& metrics_;
     header_names names_;
     dispatcher_hooks hooks_;
-    migration_protocol migration_;
+    migration_protocol migration_protocol_;
     std::map<exchange_id, std::unique_ptr<online_call>> calls_;
     policy::request_queue queue_;
     std::map<service_id, policy::stream_pace> paces_;
--- a/include/cassia/gateway/item_runner.h
+++ b/include/cassia/gateway/item_runner.h
@@ -99,7 +99,7 @@
     bool lease_in_flight_ = false;
     instant next_lease_at_{};
     bool shutting_down_ = false;
-    std::uint64_t starts_ = 0; ///< items started so far
+    std::uint64_t start_count_ = 0; ///< items started so far
     std::mt19937_64 random_;
 };
 
--- a/include/cassia/gateway/online_call.h
+++ b/include/cassia/gateway/online_call.h
@@ -23,7 +23,7 @@
 };
 
 /// Migration of a run to another endpoint; see run_migration.h.
-struct run_migration {
+struct migration_state {
     bool attempted = false;
     call_id pending_call; ///< the migration request, while it is unanswered
     policy::placement target;
@@ -33,7 +33,7 @@
 };
 
 /// A request that was matched to a route and whose caller was identified.
-struct admitted_request {
+struct routed_request {
     exchange_id id;
     net::raw_request request;
     std::shared_ptr<const routes::table> table; ///< owns `route` and `team`
@@ -71,17 +71,17 @@
     instant first_byte_at{};    ///< of the current attempt
     instant response_began_at{};
 
-    bool refused_by_endpoint = false; ///< the response says that the request was not run
-    bool forwards_error = false;      ///< the response is the endpoint's own error response
-    net::raw_head head;               ///< of the first attempt whose response began
-    std::string body;                 ///< of a response that isn't a stream
+    bool not_run = false;        ///< the response says that the request was not run
+    bool forwards_error = false; ///< the response is the endpoint's own error response
+    net::raw_head head;          ///< of the first attempt whose response began
+    std::string body;            ///< of a response that isn't a stream
     sse_parser parser;
     std::string buffered_events; ///< not yet forwarded, to be sent together with later ones
     instant buffered_since{};
     std::uint64_t last_event = 0; ///< id of the last event forwarded or buffered
     instant last_event_at{};
     microseconds longest_pause{0}; ///< between two events
-    run_migration migration;
+    migration_state migration;
     kv_cache_copy resume_source; ///< set while a request that resumes from a copy is sent
 
     std::uint32_t priority() const {
--- a/include/cassia/gateway/request_admission.h
+++ b/include/cassia/gateway/request_admission.h
@@ -17,7 +17,7 @@
 namespace cassia::gateway {
 
 struct admission_hooks {
-    std::function<void(admitted_request)> on_admitted;
+    std::function<void(routed_request)> on_admitted;
     std::function<void(exchange_id, int status, const net::http_fields&)> reject;
 };
 
@@ -27,7 +27,7 @@
                       admission_hooks hooks);
 
     /// Decides on a request of an identified caller, at once or when the quota's owner replies.
-    void submit(admitted_request request);
+    void submit(routed_request request);
     /// Rejects a request whose key is unknown.
     void reject_unknown_key(exchange_id id, const net::raw_request& request);
     void on_quota_decision(const policy::quota_decision& decision);
@@ -36,13 +36,13 @@
     std::size_t awaiting_quota() const { return awaiting_quota_.size(); }
 
 private:
-    void reject_over_quota(const admitted_request& request, milliseconds retry_after);
+    void reject_over_quota(const routed_request& request, milliseconds retry_after);
 
     quota_coordinator& quota_;
     metrics& metrics_;
     header_names names_;
     admission_hooks hooks_;
-    std::map<std::uint64_t, admitted_request> awaiting_quota_; ///< by quota_decision::ask
+    std::map<std::uint64_t, routed_request> awaiting_quota_; ///< by quota_decision::ask
 };
 
 } // namespace cassia::gateway
--- a/include/cassia/gateway/service.h
+++ b/include/cassia/gateway/service.h
@@ -73,9 +73,9 @@
 
     void defer(exchange_id id, net::raw_request request);
     void resume_deferred();
-    void refuse_expired(instant now);
-    void refuse(exchange_id id, const net::raw_request& request,
-                std::optional<milliseconds> retry_after);
+    void reject_expired(instant now);
+    void reject_without_routes(exchange_id id, const net::raw_request& request,
+                               std::optional<milliseconds> retry_after);
     void on_admin_request(exchange_id id, const net::raw_request& request);
     void set_routes(std::shared_ptr<const routes::table> table);
     void request_yield(const entry_id& holder, const endpoint_id& endpoint);
--- a/lib/gateway/cluster_client.cpp
+++ b/lib/gateway/cluster_client.cpp
@@ -10,14 +10,14 @@
 
 namespace {
 // Keepers list a gateway as serving for 0.9 s after its last hello, so two hellos may be lost.
-constexpr milliseconds hello_interval(250);
+constexpr milliseconds heartbeat_interval(250);
 constexpr milliseconds tick_interval(50);
 constexpr milliseconds keeper_expiry(10000);
 // Work keepers report only that they live, which groups they lead and which jobs must stop.
-constexpr std::uint32_t rounds_per_work_keeper_hello = 4;
+constexpr std::uint32_t rounds_per_work_keeper_heartbeat = 4;
 // All keepers of the control group tell the same. The others get a hello so that another one can be
 // followed at once, and in case that the one followed lags behind.
-constexpr std::uint32_t rounds_per_hello_to_all = 8;
+constexpr std::uint32_t rounds_per_heartbeat_to_all = 8;
 // Time of four hellos without any reply.
 constexpr milliseconds control_lost_after(1000);
 // An endpoint that falls silent does not change the directory, so it is also checked periodically.
@@ -63,17 +63,17 @@
     const net::result<void> opened = hub_.open();
     if (!opened)
         return opened.error().text;
-    owner_.every(hello_interval, [this] {
-        ++hello_rounds_;
-        if (hello_rounds_ % rounds_per_hello_to_all == 0)
-            send_hello(hello_scope::all_keepers);
-        else if (hello_rounds_ % rounds_per_work_keeper_hello == 0)
-            send_hello(hello_scope::work_keepers);
+    owner_.every(heartbeat_interval, [this] {
+        ++heartbeat_rounds_;
+        if (heartbeat_rounds_ % rounds_per_heartbeat_to_all == 0)
+            send_heartbeat(heartbeat_scope::all_keepers);
+        else if (heartbeat_rounds_ % rounds_per_work_keeper_heartbeat == 0)
+            send_heartbeat(heartbeat_scope::work_keepers);
         else
-            send_hello(hello_scope::followed_keeper);
+            send_heartbeat(heartbeat_scope::followed_keeper);
     });
     owner_.every(tick_interval, [this] { tick(); });
-    send_hello(hello_scope::all_keepers);
+    send_heartbeat(heartbeat_scope::all_keepers);
     return "";
 }
 
@@ -87,7 +87,7 @@
     leaving_ = true;
     usage_.leave();
     quota_.leave();
-    send_hello(hello_scope::all_keepers);
+    send_heartbeat(heartbeat_scope::all_keepers);
 }
 
 void cluster_client::send_request(schema::keeper_request request, entry::ask_options options,
@@ -117,43 +117,43 @@
 
 // While the followed keeper is out of touch with its group, all get a hello more often: any of them
 // may be the first to have the routing table.
-void cluster_client::send_hello(hello_scope scope) {
+void cluster_client::send_heartbeat(heartbeat_scope scope) {
     const instant now = monotonic_now();
     const peer_address followed = followed_.choose(now);
     roster_.follow(followed);
     std::set<peer_address> recipients;
     if (!followed.empty())
         recipients.insert(followed);
-    const bool includes_all = followed_.is_in_touch() ? scope == hello_scope::all_keepers
-                                                      : scope != hello_scope::followed_keeper;
+    const bool includes_all = followed_.is_in_touch() ? scope == heartbeat_scope::all_keepers
+                                                      : scope != heartbeat_scope::followed_keeper;
     if (followed.empty() || includes_all) {
         recipients.insert(seeds_.begin(), seeds_.end());
         for (const std::pair<const peer_address, instant>& keeper : control_keepers_)
             recipients.insert(keeper.first);
     }
-    if (scope != hello_scope::followed_keeper) {
+    if (scope != heartbeat_scope::followed_keeper) {
         for (const std::pair<const peer_address, instant>& keeper : work_keepers_)
             recipients.insert(keeper.first);
     }
     schema::envelope envelope;
-    schema::entry_hello* hello = envelope.mutable_hello();
-    hello->set_entry(settings_.name());
-    hello->set_incarnation(incarnation_);
-    hello->set_peer_address(settings_.peer_address());
-    hello->set_http_address(settings_.serve_address());
-    hello->set_zone(settings_.zone());
-    hello->set_region(settings_.region());
-    hello->set_draining(leaving_ || !routes_);
-    hello->set_routes_version(routes_ ? routes_->version() : 0);
-    hello->set_sent_at_us(to_us(now));
+    schema::entry_hello* heartbeat = envelope.mutable_hello();
+    heartbeat->set_entry(settings_.name());
+    heartbeat->set_incarnation(incarnation_);
+    heartbeat->set_peer_address(settings_.peer_address());
+    heartbeat->set_http_address(settings_.serve_address());
+    heartbeat->set_zone(settings_.zone());
+    heartbeat->set_region(settings_.region());
+    heartbeat->set_draining(leaving_ || !routes_);
+    heartbeat->set_routes_version(routes_ ? routes_->version() : 0);
+    heartbeat->set_sent_at_us(to_us(now));
     for (const peer_address& recipient : recipients) {
         const keeper_state& keeper = keepers_[recipient];
-        hello->set_directory_epoch(keeper.directory_epoch);
-        hello->set_directory_revision(keeper.directory_revision);
-        hello->set_keepers_digest(keeper.keepers_digest);
-        hello->set_follows(recipient == followed);
+        heartbeat->set_directory_epoch(keeper.directory_epoch);
+        heartbeat->set_directory_revision(keeper.directory_revision);
+        heartbeat->set_keepers_digest(keeper.keepers_digest);
+        heartbeat->set_follows(recipient == followed);
         if (recipient == followed)
-            roster_.write(*hello);
+            roster_.write(*heartbeat);
         hub_.send(recipient, envelope, watch_for(recipient, followed));
     }
 }
@@ -185,7 +185,7 @@
     update_keepers(beacon, now);
     // A new work keeper may have granted leases to this process without knowing that it lives.
     if (work_keepers_.size() > known_before)
-        send_hello(hello_scope::all_keepers);
+        send_heartbeat(heartbeat_scope::all_keepers);
     for (const std::uint32_t group : beacon.leads()) {
         peer_address& leader = leaders_[group_id(group)];
         if (leader != from)
@@ -207,7 +207,7 @@
                 .with("from", from.str());
             quota_.set_teams(routes_->teams());
             hooks_.on_routes(routes_);
-            send_hello(hello_scope::followed_keeper);
+            send_heartbeat(heartbeat_scope::followed_keeper);
         } else {
             log_error("routes_refused").with("cause", compiled.error().text);
         }
--- a/lib/gateway/dispatch_migration.cpp
+++ b/lib/gateway/dispatch_migration.cpp
@@ -15,7 +15,7 @@
     // A body that ends with its connection would look complete when the endpoint closes the
     // connection because of the migration.
     const bool end_is_marked = call.head.framing != net::body_framing::until_close;
-    if (!migration_.build_request || !call.is_stream() || call.migration.attempted ||
+    if (!migration_protocol_.build_request || !call.is_stream() || call.migration.attempted ||
         !end_is_marked)
         return false;
     const schema::routed_service* service = call.table->service(call.service.str());
@@ -30,7 +30,7 @@
         return;
     slots_.note_stall(call.endpoint, now);
     slots_.take(placement->endpoint, policy::work_kind::online);
-    call.migration = run_migration{};
+    call.migration = migration_state{};
     call.migration.attempted = true;
     call.migration.target = *placement;
     const exchange_id id = call.id;
@@ -49,7 +49,7 @@
     hooks.on_failure = [this, id](const net::raw_failure&) { on_migration_response(id); };
     net::raw_call outgoing;
     outgoing.to = call.address;
-    outgoing.request = migration_.build_request(call.request_id, placement->address);
+    outgoing.request = migration_protocol_.build_request(call.request_id, placement->address);
     call.migration.pending_call = client_.start(std::move(outgoing), std::move(hooks));
     metrics_.count("run_moves_asked");
 }
@@ -62,10 +62,10 @@
     if (found == calls_.end())
         return;
     online_call& call = *found->second;
-    const run_migration migration = std::exchange(call.migration, run_migration{});
+    const migration_state migration = std::exchange(call.migration, migration_state{});
     call.migration.attempted = true;
     slots_.release(migration.target.endpoint, policy::work_kind::online);
-    const std::optional<std::string> handle = migration_.read_handle(migration.body);
+    const std::optional<std::string> handle = migration_protocol_.read_handle(migration.body);
     log_info("run_moved")
         .with("request", call.request_id)
         .with("endpoint", call.endpoint.str())
@@ -107,7 +107,7 @@
         return;
     client_.cancel(call.migration.pending_call);
     slots_.release(call.migration.target.endpoint, policy::work_kind::online);
-    call.migration = run_migration{};
+    call.migration = migration_state{};
     call.migration.attempted = true;
 }
 
--- a/lib/gateway/dispatch_responses.cpp
+++ b/lib/gateway/dispatch_responses.cpp
@@ -32,12 +32,12 @@
     call.last_progress_at = monotonic_now();
     const bool not_run = head.fields.has(names_.not_run) || head.status == status_misdirected;
     if (not_run) {
-        call.refused_by_endpoint = true;
+        call.not_run = true;
         return;
     }
     slots_.trust(call.endpoint);
     if (!is_response_to(call, head)) {
-        suspend_endpoint(call, call.last_progress_at);
+        eject_endpoint(call, call.last_progress_at);
         retry_or_fail(call, "answer_of_another_request");
         return;
     }
@@ -58,7 +58,7 @@
 
 void dispatcher::on_body(exchange_id id, std::string_view bytes) {
     auto found = calls_.find(id);
-    if (found == calls_.end() || found->second->refused_by_endpoint)
+    if (found == calls_.end() || found->second->not_run)
         return;
     online_call& call = *found->second;
     call.last_progress_at = monotonic_now();
@@ -90,11 +90,11 @@
 void dispatcher::buffer_event(online_call& call, const std::string& event) {
     const instant now = monotonic_now();
     // The caller is waiting for the first event, and for one that follows a long pause.
-    const bool is_awaited = now - call.last_event_at >= max_event_delay;
+    const bool is_caller_waiting = now - call.last_event_at >= max_event_delay;
     if (call.buffered_events.empty())
         call.buffered_since = now;
     call.buffered_events.append(event);
-    if (is_awaited || now - call.buffered_since >= max_event_delay)
+    if (is_caller_waiting || now - call.buffered_since >= max_event_delay)
         flush_events(call);
 }
 
@@ -134,7 +134,7 @@
     if (found == calls_.end())
         return;
     online_call& call = *found->second;
-    if (call.refused_by_endpoint) {
+    if (call.not_run) {
         retry_not_run(call, "refused_by_endpoint");
         return;
     }
@@ -182,10 +182,10 @@
     online_call& call = *found->second;
     if (defer_end_to_migration(call))
         return;
-    const bool not_run = !failure.sent || call.refused_by_endpoint;
+    const bool not_run = !failure.sent || call.not_run;
     const bool stale_connection = failure.kept && !failure.answered;
-    if (!call.refused_by_endpoint && !stale_connection)
-        suspend_endpoint(call, monotonic_now());
+    if (!call.not_run && !stale_connection)
+        eject_endpoint(call, monotonic_now());
     if (not_run)
         retry_not_run(call, failure.cause.text);
     else
--- a/lib/gateway/dispatch_timeouts.cpp
+++ b/lib/gateway/dispatch_timeouts.cpp
@@ -16,11 +16,11 @@
 constexpr milliseconds inactivity_timeout_free_slot(350);
 constexpr milliseconds inactivity_timeout_full_endpoint(1000);
 // Multiple of the target time for a response that is not a stream: it sends nothing until complete.
-constexpr int buffered_inactivity_targets = 2;
+constexpr int inactivity_timeout_targets = 2;
 // A pause between events may last 400 ms. This limit is longer than a lost packet takes (200 ms
 // plus the usual pause) and leaves a resumed run 80 ms for its first event.
-constexpr milliseconds min_inactivity_between_events(320);
-constexpr int inactivity_pauses = 4;
+constexpr milliseconds min_inactivity_timeout_between_events(320);
+constexpr int inactivity_timeout_pauses = 4;
 // An endpoint under light load begins its response within about 30 ms.
 constexpr milliseconds reclaim_delay(60);
 constexpr int status_timeout = 504;
@@ -34,7 +34,7 @@
         if (call.runs > 0)
             fail(call, status_timeout, "no_slot_in_time");
         else
-            refuse(call, "no_slot_in_time");
+            reject(call, "no_slot_in_time");
         return;
     }
     if (now >= call.deadline) {
@@ -61,7 +61,7 @@
     }
     if (now - call.last_progress_at < inactivity_timeout(call))
         return;
-    suspend_endpoint(call, now);
+    eject_endpoint(call, now);
     retry_or_fail(call, "endpoint_silent");
 }
 
@@ -83,12 +83,12 @@
     const std::optional<policy::placement> placement = place_elsewhere(call, now);
     if (!placement) {
         if (now - call.last_progress_at >= inactivity_timeout(call)) {
-            suspend_endpoint(call, now);
+            eject_endpoint(call, now);
             retry_or_fail(call, "endpoint_silent");
         }
         return;
     }
-    const milliseconds suspension = slots_.note_stall(call.endpoint, now);
+    const milliseconds ejection_time = slots_.note_stall(call.endpoint, now);
     metrics_.count("streams_moved");
     log_info("stream_moved")
         .with("request", call.request_id)
@@ -96,7 +96,7 @@
         .with("behind_event", call.last_event)
         .with("silent_ms",
               std::chrono::duration_cast<milliseconds>(now - call.last_progress_at).count())
-        .with("suspended_ms", suspension.count());
+        .with("suspended_ms", ejection_time.count());
     cancel_attempt(call);
     call.failed_endpoints.insert(call.endpoint);
     send(call, *placement);
@@ -110,12 +110,13 @@
 microseconds dispatcher::inactivity_timeout(const online_call& call) const {
     if (!call.is_stream())
         return std::max(inactivity_timeout_free_slot,
-                        buffered_inactivity_targets * milliseconds(call.route->target_ms()));
+                        inactivity_timeout_targets * milliseconds(call.route->target_ms()));
     if (call.first_byte_at < call.sent_at)
         return slots_.is_full(call.endpoint) ? inactivity_timeout_full_endpoint
                                              : inactivity_timeout_free_slot;
     const microseconds pause = call.longest_pause;
-    return std::max<microseconds>(min_inactivity_between_events, inactivity_pauses * pause);
+    return std::max<microseconds>(min_inactivity_timeout_between_events,
+                                  inactivity_timeout_pauses * pause);
 }
 
 // The usage reported by other gateways is up to 100 ms old, so an endpoint that seemed to have a
--- a/lib/gateway/dispatcher.cpp
+++ b/lib/gateway/dispatcher.cpp
@@ -38,14 +38,14 @@
 
 // Callers of a stream disconnect after waiting for two seconds, four times the target or eight
 // times the allowed pause, whichever is longest. A request that starts later would run for nothing.
-static milliseconds caller_patience(const schema::route& route) {
+static milliseconds max_caller_wait(const schema::route& route) {
     constexpr std::int64_t min_ms = 2000;
     constexpr std::int64_t targets = 4;
     constexpr std::int64_t pauses = 8;
     return milliseconds(std::max({min_ms, targets * route.target_ms(), pauses * route.pause_ms()}));
 }
 
-void dispatcher::submit(admitted_request admitted) {
+void dispatcher::submit(routed_request admitted) {
     std::unique_ptr<online_call> new_call = std::make_unique<online_call>();
     online_call& call = *new_call;
     const schema::route& route = *admitted.route;
@@ -65,7 +65,7 @@
     call.send_deadline = call.deadline - min_remaining_time;
     if (call.is_stream())
         call.send_deadline = std::min(call.send_deadline,
-                                      call.arrived_at + caller_patience(route) - first_event_time);
+                                      call.arrived_at + max_caller_wait(route) - first_event_time);
     call.last_event = net::read_number(request.fields.find(names_.last_event)).value_or(0);
     std::uniform_real_distribution<double> uniform(0, 1);
     call.service = service_id(routes::choose_target(route, uniform(random_)));
@@ -113,7 +113,7 @@
     if (call.is_stream() && call.last_event > 0)
         request.fields.set(names_.last_event, std::to_string(call.last_event));
     if (!call.resume_source.handle.empty())
-        migration_.resume_from_copy(request, call.resume_source);
+        migration_protocol_.resume_from_copy(request, call.resume_source);
     return request;
 }
 
@@ -128,7 +128,7 @@
     call.sent_at = monotonic_now();
     call.last_progress_at = call.sent_at;
     call.last_reclaim_at = call.sent_at;
-    call.refused_by_endpoint = false;
+    call.not_run = false;
     call.forwards_error = false;
     call.body.clear();
     call.parser.reset();
@@ -181,12 +181,12 @@
     call.holds_slot = false;
 }
 
-void dispatcher::suspend_endpoint(const online_call& call, instant now) {
-    const milliseconds suspension = slots_.suspect(call.endpoint, now);
+void dispatcher::eject_endpoint(const online_call& call, instant now) {
+    const milliseconds ejection_time = slots_.suspect(call.endpoint, now);
     client_.forget(call.address);
     log_info("endpoint_suspended")
         .with("endpoint", call.endpoint.str())
-        .with("ms", suspension.count())
+        .with("ms", ejection_time.count())
         .with("request", call.request_id);
 }
 
@@ -214,7 +214,7 @@
     if (call.runs > 0 || call.phase == call_phase::responding)
         fail(call, status_bad_gateway, cause);
     else
-        refuse(call, cause);
+        reject(call, cause);
 }
 
 void dispatcher::retry_or_fail(online_call& call, const std::string& cause) {
@@ -234,7 +234,7 @@
     fail(call, status_bad_gateway, cause);
 }
 
-void dispatcher::refuse(online_call& call, const std::string& cause) {
+void dispatcher::reject(online_call& call, const std::string& cause) {
     net::raw_head head;
     head.status = status_unavailable;
     head.fields.add(names_.request_id, call.request_id);
--- a/lib/gateway/item_responses.cpp
+++ b/lib/gateway/item_responses.cpp
@@ -14,7 +14,7 @@
 constexpr int status_unprocessable = 422;
 constexpr int status_server_error = 500;
 // Delay before an item that an endpoint refused is started again.
-constexpr milliseconds refused_delay(100);
+constexpr milliseconds unusable_response_delay(100);
 // An item whose connection broke may itself crash endpoints: the delay grows with each run.
 constexpr milliseconds failure_delay(150);
 constexpr std::uint32_t max_delay_factor = 20;
@@ -37,7 +37,7 @@
     if (is_own_response && (is_stamped || head.status != status_ok))
         return;
     item.failed_endpoints.insert(item.endpoint);
-    requeue(item, refused_delay, "answer_not_its_own");
+    requeue(item, unusable_response_delay, "answer_not_its_own");
 }
 
 void item_runner::on_body(const item_key& key, std::string_view bytes) {
@@ -51,7 +51,7 @@
     if (!append_events(item, bytes)) {
         // The events do not follow the last one received; another run resumes after that one.
         item.failed_endpoints.insert(item.endpoint);
-        requeue(item, refused_delay, "event_out_of_order");
+        requeue(item, unusable_response_delay, "event_out_of_order");
     }
 }
 
@@ -76,7 +76,7 @@
     held_item& item = *found->second;
     if (item.not_run) {
         item.failed_endpoints.insert(item.endpoint);
-        requeue(item, refused_delay, "refused_by_endpoint");
+        requeue(item, unusable_response_delay, "refused_by_endpoint");
         return;
     }
     if (item.status == status_ok && !item.parser.has_partial_event() && item.last_event > 0) {
--- a/lib/gateway/item_runner.cpp
+++ b/lib/gateway/item_runner.cpp
@@ -190,7 +190,7 @@
     slots_.take(placement->endpoint, policy::work_kind::batch);
     item.endpoint = placement->endpoint;
     item.last_progress_at = now;
-    item.start_number = ++starts_;
+    item.start_number = ++start_count_;
     item.parser.reset();
     item.status = 0;
     item.not_run = false;
@@ -288,12 +288,13 @@
 }
 
 schema::held_items item_runner::held() const {
-    schema::held_items out;
-    const auto add_item = [&out](const std::string& job, std::uint32_t ordinal,
-                                 std::uint32_t attempt) {
-        const bool is_last_job = out.jobs_size() > 0 && out.jobs(out.jobs_size() - 1).job() == job;
+    schema::held_items result;
+    const auto add_item = [&result](const std::string& job, std::uint32_t ordinal,
+                                    std::uint32_t attempt) {
+        const bool is_last_job =
+            result.jobs_size() > 0 && result.jobs(result.jobs_size() - 1).job() == job;
         schema::held_job* held =
-            is_last_job ? out.mutable_jobs(out.jobs_size() - 1) : out.add_jobs();
+            is_last_job ? result.mutable_jobs(result.jobs_size() - 1) : result.add_jobs();
         held->set_job(job);
         held->add_ordinals(ordinal);
         held->add_attempts(attempt);
@@ -305,7 +306,7 @@
         add_item(ended.job(), ended.ordinal(), ended.attempt());
     for (const schema::item_end& ended : ends_in_flight_.ends())
         add_item(ended.job(), ended.ordinal(), ended.attempt());
-    return out;
+    return result;
 }
 
 void item_runner::check_inactivity(instant now) {
--- a/lib/gateway/request_admission.cpp
+++ b/lib/gateway/request_admission.cpp
@@ -17,7 +17,7 @@
                                      admission_hooks hooks)
     : quota_(quota), metrics_(counts), names_(std::move(names)), hooks_(std::move(hooks)) {}
 
-void request_admission::submit(admitted_request request) {
+void request_admission::submit(routed_request request) {
     if (request.team == nullptr) {
         hooks_.on_admitted(std::move(request));
         return;
@@ -43,7 +43,7 @@
     auto found = awaiting_quota_.find(decision.ask);
     if (found == awaiting_quota_.end())
         return;
-    admitted_request request = std::move(found->second);
+    routed_request request = std::move(found->second);
     awaiting_quota_.erase(found);
     metrics_.observe("quota_answer", monotonic_now() - request.arrived_at);
     if (decision.verdict == policy::quota_verdict::rejected) {
@@ -74,8 +74,7 @@
     hooks_.reject(id, status_unauthorized, fields);
 }
 
-void request_admission::reject_over_quota(const admitted_request& request,
-                                          milliseconds retry_after) {
+void request_admission::reject_over_quota(const routed_request& request, milliseconds retry_after) {
     metrics_.count("rejected_over_quota");
     log_info("request_rejected")
         .with("request", request.request.fields.find(names_.request_id))
--- a/lib/gateway/service.cpp
+++ b/lib/gateway/service.cpp
@@ -103,7 +103,7 @@
     };
     cluster_ = std::make_unique<cluster_client>(task_, settings_, std::move(cluster_callbacks));
     admission_hooks admission_callbacks;
-    admission_callbacks.on_admitted = [this](admitted_request request) {
+    admission_callbacks.on_admitted = [this](routed_request request) {
         dispatcher_->submit(std::move(request));
     };
     admission_callbacks.reject = [this](exchange_id id, int status,
@@ -241,19 +241,20 @@
         on_request(deferred.first, std::move(deferred.second.request));
 }
 
-void service::refuse_expired(instant now) {
+void service::reject_expired(instant now) {
     for (auto deferred = deferred_.begin(); deferred != deferred_.end();) {
         if (now < deferred->second.expires_at) {
             ++deferred;
             continue;
         }
-        refuse(deferred->first, deferred->second.request, deferred->second.retry_after);
+        reject_without_routes(deferred->first, deferred->second.request,
+                              deferred->second.retry_after);
         deferred = deferred_.erase(deferred);
     }
 }
 
-void service::refuse(exchange_id id, const net::raw_request& request,
-                     std::optional<milliseconds> retry_after) {
+void service::reject_without_routes(exchange_id id, const net::raw_request& request,
+                                    std::optional<milliseconds> retry_after) {
     log_warning("request_refused")
         .with("request", request.fields.find(names_.request_id))
         .with("cause", "no_routes")
@@ -336,7 +337,7 @@
 
 void service::tick() {
     const instant now = monotonic_now();
-    refuse_expired(now);
+    reject_expired(now);
     cluster_->quota().flush();
     dispatcher_->tick(now);
     items_->tick(now, wall_now());
--- a/lib/gateway/service_status.cpp
+++ b/lib/gateway/service_status.cpp
@@ -64,9 +64,9 @@
     out["endpoint_connections_made"] = client_->counts().connections_made;
     out["endpoint_connections_reused"] = client_->counts().connections_reused;
     boost::json::object usage;
-    for (const std::pair<const endpoint_id, policy::slot_use>& element : slots_.own_uses())
-        usage[element.first.str()] = {{"online", element.second.online},
-                                      {"batch", element.second.batch}};
+    for (const std::pair<const endpoint_id, policy::slot_use>& endpoint_usage : slots_.own_uses())
+        usage[endpoint_usage.first.str()] = {{"online", endpoint_usage.second.online},
+                                             {"batch", endpoint_usage.second.batch}};
     out["own_uses"] = std::move(usage);
     return boost::json::serialize(out);
 }
--- a/lib/gateway/usage_coordinator.cpp
+++ b/lib/gateway/usage_coordinator.cpp
@@ -12,12 +12,12 @@
 
 template <class Message>
 static void encode_usage(const use_map& usage, Message& message) {
-    for (const std::pair<const endpoint_id, policy::slot_use>& element : usage) {
+    for (const std::pair<const endpoint_id, policy::slot_use>& endpoint_usage : usage) {
         schema::endpoint_use* use = message.add_uses();
-        use->set_endpoint(element.first.str());
-        use->set_online(element.second.online);
-        use->set_batch(element.second.batch);
-        use->set_suspects(element.second.suspecting);
+        use->set_endpoint(endpoint_usage.first.str());
+        use->set_online(endpoint_usage.second.online);
+        use->set_batch(endpoint_usage.second.batch);
+        use->set_suspects(endpoint_usage.second.suspecting);
     }
 }
 
