--- /dev/null
+++ b/lib/gateway/item_responses.cpp
@@ -0,0 +1,144 @@
+// Responses of endpoints to batch items.
+
+#include "cassia/base/log.h"
+#include "cassia/gateway/item_runner.h"
+#include "held_item.h"
+
+#include <utility>
+
+namespace cassia::gateway {
+
+namespace {
+constexpr int status_ok = 200;
+constexpr int status_misdirected = 421;
+constexpr int status_unprocessable = 422;
+constexpr int status_server_error = 500;
+// Delay before an item that an endpoint refused is started again.
+constexpr milliseconds unusable_response_delay(100);
+// An item whose connection broke may itself crash endpoints: the delay grows with each run.
+constexpr milliseconds failure_delay(150);
+constexpr std::uint32_t max_delay_factor = 20;
+} // namespace
+
+void item_runner::on_head(const item_key& key, const net::raw_head& head) {
+    auto found = items_.find(key);
+    if (found == items_.end())
+        return;
+    held_item& item = *found->second;
+    item.last_progress_at = monotonic_now();
+    item.not_run = head.fields.has(names_.not_run) || head.status == status_misdirected;
+    item.status = head.status;
+    slots_.trust(item.endpoint);
+    if (item.not_run)
+        return;
+    const bool is_own_response =
+        head.fields.find(names_.request_id) == item.leased.item().custom_id();
+    const bool is_stamped = head.fields.has(names_.stamp) && !head.fields.has("Content-Encoding");
+    if (is_own_response && (is_stamped || head.status != status_ok))
+        return;
+    item.failed_endpoints.insert(item.endpoint);
+    requeue(item, unusable_response_delay, "answer_not_its_own");
+}
+
+void item_runner::on_body(const item_key& key, std::string_view bytes) {
+    auto found = items_.find(key);
+    if (found == items_.end())
+        return;
+    held_item& item = *found->second;
+    item.last_progress_at = monotonic_now();
+    if (item.not_run || item.status != status_ok)
+        return;
+    if (!append_events(item, bytes)) {
+        // The events do not follow the last one received; another run resumes after that one.
+        item.failed_endpoints.insert(item.endpoint);
+        requeue(item, unusable_response_delay, "event_out_of_order");
+    }
+}
+
+bool item_runner::append_events(held_item& item, std::string_view bytes) {
+    for (const sse_event& event : item.parser.feed(bytes)) {
+        if (event.id == 0)
+            continue;
+        if (event.id != item.last_event + 1)
+            return false;
+        if (item.last_event > 0)
+            item.text.push_back('\n');
+        item.text.append(event.data);
+        item.last_event = event.id;
+    }
+    return true;
+}
+
+void item_runner::on_end(const item_key& key) {
+    auto found = items_.find(key);
+    if (found == items_.end())
+        return;
+    held_item& item = *found->second;
+    if (item.not_run) {
+        item.failed_endpoints.insert(item.endpoint);
+        requeue(item, unusable_response_delay, "refused_by_endpoint");
+        return;
+    }
+    if (item.status == status_ok && !item.parser.has_partial_event() && item.last_event > 0) {
+        finish(key, schema::completed, false, "done");
+        return;
+    }
+    if (item.status == status_unprocessable) {
+        finish(key, schema::failed, false, "impossible");
+        return;
+    }
+    if (item.status == status_server_error) {
+        finish(key, schema::pending, true, "endpoint_failed");
+        return;
+    }
+    item.failed_endpoints.insert(item.endpoint);
+    requeue(item, failure_delay, "status_" + std::to_string(item.status));
+}
+
+void item_runner::on_failure(const item_key& key, const net::raw_failure& failure) {
+    auto found = items_.find(key);
+    if (found == items_.end())
+        return;
+    held_item& item = *found->second;
+    item.failed_endpoints.insert(item.endpoint);
+    const bool stale_connection = failure.kept && !failure.answered;
+    if (!stale_connection)
+        slots_.suspect(item.endpoint, monotonic_now());
+    const std::uint32_t delay_factor = std::min(item.runs, max_delay_factor);
+    requeue(item, stale_connection ? milliseconds(0) : failure_delay * delay_factor,
+            failure.cause.text);
+}
+
+void item_runner::finish(const item_key& key, schema::item_status status, bool failed_run,
+                         const std::string& cause) {
+    auto found = items_.find(key);
+    if (found == items_.end())
+        return;
+    held_item& item = *found->second;
+    stop(item);
+    log_info("item_ended")
+        .with("item", item.leased.item().custom_id())
+        .with("job", key.first.str())
+        .with("attempt", item.leased.attempt())
+        .with("endpoint", item.endpoint.str())
+        .with("runs", item.runs)
+        .with("events", item.last_event)
+        .with("status", schema::item_status_Name(status))
+        .with("cause", cause);
+    schema::item_end* ended = unsent_ends_.add_ends();
+    ended->set_job(key.first.str());
+    ended->set_ordinal(key.second);
+    ended->set_attempt(item.leased.attempt());
+    ended->set_status(status);
+    ended->set_failed_run(failed_run);
+    ended->set_endpoint(item.endpoint.str());
+    ended->set_http_status(static_cast<std::uint32_t>(item.status));
+    if (status == schema::pending)
+        ended->set_events(item.last_event);
+    if (status == schema::completed || ended->events() > 0)
+        ended->set_body(std::move(item.text));
+    metrics_.count("items_ended");
+    items_.erase(found);
+}
+
+} // namespace cassia::gateway
