--- a/include/cassia/keeper/service.h
+++ b/include/cassia/keeper/service.h
@@ -44,15 +44,15 @@
     /// What became of a request that only the control group's leader can serve.
     enum class control_outcome {
         done,
-        elsewhere, ///< another keeper leads; its address is handed over
-        unknown,   ///< no leader known, or the outcome can't be told
+        not_leader, ///< another keeper leads; its address is handed over
+        unknown,    ///< no leader known, or the outcome can't be told
     };
-    struct control_answer {
+    struct control_response {
         control_outcome outcome = control_outcome::unknown;
         std::string leader_ip; ///< with `elsewhere`
         schema::route_table routes;
     };
-    using control_done = std::function<void(const control_answer&)>;
+    using control_done = std::function<void(const control_response&)>;
 
     /// Puts a checked table in force; done once it is durable on a majority.
     void put_routes(const schema::route_table& table, const control_done& done);
@@ -60,24 +60,25 @@
     void read_routes(const control_done& done);
     /// Takes an endpoint's word. `done(true)` once it can't be lost with this keeper: at once for
     /// a sign of life, and for the end of its service once another keeper has it too.
-    void announce(const schema::endpoint_record& record, std::function<void(bool)> done);
+    void announce_endpoint(const schema::endpoint_record& record, std::function<void(bool)> done);
     /// An endpoint says that it ends. \param incarnation 0: the one that is known.
-    void end_endpoint(const endpoint_id& endpoint, std::uint64_t incarnation,
-                      std::function<void(bool)> done);
-    enum class retire_outcome { done, missing, too_few, elsewhere, unknown };
-    struct retire_answer {
+    void remove_endpoint(const endpoint_id& endpoint, std::uint64_t incarnation,
+                         std::function<void(bool)> done);
+    enum class retire_outcome { done, not_found, too_few_keepers, not_leader, unknown };
+    struct retire_response {
         retire_outcome outcome = retire_outcome::unknown;
         std::string leader_ip; ///< with `elsewhere`
     };
     /// Begins to empty a keeper of its work groups.
-    void retire(const std::string& name, const std::function<void(const retire_answer&)>& done);
+    void retire_keeper(const std::string& name,
+                       const std::function<void(const retire_response&)>& done);
     /// Whether a keeper that is being emptied belongs to no group any more; nothing if it isn't
     /// being emptied, as far as this keeper knows.
-    std::optional<bool> is_retired(const std::string& name) const;
+    std::optional<bool> is_keeper_retired(const std::string& name) const;
     /// Entries that live and take new connections.
-    std::vector<schema::entry_hello> serving_entries() const;
+    std::vector<schema::entry_hello> serving_gateways() const;
     /// Takes over what may change while it runs: the seeds.
-    void apply(const schema::keeper_settings& changed);
+    void apply_settings(const schema::keeper_settings& changed);
     net::task& owner() { return task_; }
 
 private:
--- a/lib/keeper/service_api.cpp
+++ b/lib/keeper/service_api.cpp
@@ -27,7 +27,7 @@
     const group_host& host = *hosts_.at(control_group);
     if (!host.raft().leads()) {
         done({host.raft().leader() == disk_id() ? control_outcome::unknown
-                                                : control_outcome::elsewhere,
+                                                : control_outcome::not_leader,
               net::ip_of(leader_node(host)),
               {}});
         return;
@@ -54,12 +54,13 @@
         return;
     }
     const bool other_leads = !host.raft().leads() && host.raft().leader() != disk_id();
-    done({other_leads ? control_outcome::elsewhere : control_outcome::unknown,
+    done({other_leads ? control_outcome::not_leader : control_outcome::unknown,
           net::ip_of(leader_node(host)),
           {}});
 }
 
-void service::announce(const schema::endpoint_record& record, std::function<void(bool)> done) {
+void service::announce_endpoint(const schema::endpoint_record& record,
+                                std::function<void(bool)> done) {
     const instant now = monotonic_now();
     const bool changed = directory_.announced(record, now);
     if (changed) {
@@ -84,8 +85,8 @@
 
 // An endpoint that this keeper never heard of is noted as gone all the same: its earlier words may
 // be on their way from another keeper.
-void service::end_endpoint(const endpoint_id& endpoint, std::uint64_t incarnation,
-                           std::function<void(bool)> done) {
+void service::remove_endpoint(const endpoint_id& endpoint, std::uint64_t incarnation,
+                              std::function<void(bool)> done) {
     schema::endpoint_record record;
     auto known = directory_.all().find(endpoint);
     if (known != directory_.all().end())
@@ -95,7 +96,7 @@
     record.set_id(endpoint.str());
     record.set_leaving(true);
     record.set_gone(true);
-    announce(record, std::move(done));
+    announce_endpoint(record, std::move(done));
 }
 
 void service::restore_endpoints() {
@@ -170,19 +171,19 @@
     return disks;
 }
 
-void service::retire(const std::string& name,
-                     const std::function<void(const retire_answer&)>& done) {
+void service::retire_keeper(const std::string& name,
+                            const std::function<void(const retire_response&)>& done) {
     const group_host& host = *hosts_.at(control_group);
     const instant now = monotonic_now();
     if (!host.raft().may_read(now)) {
         const bool other_leads = !host.raft().leads() && host.raft().leader() != disk_id();
-        done({other_leads ? retire_outcome::elsewhere : retire_outcome::unknown,
+        done({other_leads ? retire_outcome::not_leader : retire_outcome::unknown,
               net::ip_of(leader_node(host))});
         return;
     }
     const known_keeper* keeper = find_work_keeper(name);
     if (keeper == nullptr) {
-        done({retire_outcome::missing, ""});
+        done({retire_outcome::not_found, ""});
         return;
     }
     const disk_id disk(keeper->hello.disk());
@@ -195,7 +196,7 @@
         left += stays ? 1 : 0;
     }
     if (retiring.count(disk) == 0 && left < group_size()) {
-        done({retire_outcome::too_few, ""});
+        done({retire_outcome::too_few_keepers, ""});
         return;
     }
     schema::control_command command;
@@ -213,7 +214,7 @@
 
 // Said only on the word of a present leader of every group: the VM is taken away with its disk at
 // once, and a group that still counts on it would lose a member without notice.
-std::optional<bool> service::is_retired(const std::string& name) const {
+std::optional<bool> service::is_keeper_retired(const std::string& name) const {
     std::optional<disk_id> disk;
     for (const schema::retire_command& one : control_.retiring()) {
         if (one.name() == name)
@@ -240,7 +241,7 @@
     });
 }
 
-void service::apply(const schema::keeper_settings& changed) {
+void service::apply_settings(const schema::keeper_settings& changed) {
     *settings_.mutable_cluster()->mutable_seed() = changed.cluster().seed();
 }
 
@@ -248,7 +249,7 @@
     return now - entry.seen < entry_serves && !entry.hello.draining();
 }
 
-std::vector<schema::entry_hello> service::serving_entries() const {
+std::vector<schema::entry_hello> service::serving_gateways() const {
     std::vector<schema::entry_hello> out;
     const instant now = monotonic_now();
     for (const std::pair<const std::string, known_entry>& one : entries_) {
