--- a/include/cassia/keeper/service.h
+++ b/include/cassia/keeper/service.h
@@ -3,12 +3,12 @@
 
 #include "cassia/base/metrics.h"
 #include "cassia/keeper/disk_writer.h"
-#include "cassia/keeper/founding.h"
-#include "cassia/keeper/group_host.h"
-#include "cassia/keeper/group_watch.h"
+#include "cassia/keeper/group_change_logger.h"
+#include "cassia/keeper/group_replica.h"
 #include "cassia/keeper/heartbeat_queue.h"
+#include "cassia/keeper/membership_planner.h"
+#include "cassia/keeper/route_table_delivery.h"
 #include "cassia/keeper/store.h"
-#include "cassia/keeper/table_delivery.h"
 #include "cassia/keeper/work_leader.h"
 #include "cassia/membership/directory.h"
 #include "cassia/membership/entry_roster.h"
@@ -125,7 +125,7 @@
     void shut_down();
     void remove_old_segments();
 
-    // Conversations (service_requests.cpp, service_entries.cpp).
+    // Conversations (service_requests.cpp, service_gateways.cpp).
     void on_message(schema::envelope& message);
     void on_request(const schema::keeper_request& request, const std::string& reply_to);
     void serve_work(const schema::keeper_request& request, const group_host::reply_function& reply);
@@ -174,7 +174,7 @@
     std::string metrics_text();
     std::string dump() const;
 
-    // Keepers that find each other by seeds (service_fleet.cpp).
+    // Keepers that find each other by seeds (service_discovery.cpp).
     bool hosts_control() const { return settings_.groups() != "work"; }
     bool hosts_work() const { return settings_.groups() != "control"; }
     bool uses_seeds() const { return settings_.cluster().seed_size() > 0; }
--- a/lib/keeper/group_watch.cpp
+++ b/lib/keeper/group_change_logger.cpp
@@ -1,4 +1,4 @@
-#include "cassia/keeper/group_watch.h"
+#include "cassia/keeper/group_change_logger.h"
 
 #include "cassia/base/log.h"
 
--- a/lib/keeper/group_host.cpp
+++ b/lib/keeper/group_replica.cpp
@@ -1,4 +1,4 @@
-#include "cassia/keeper/group_host.h"
+#include "cassia/keeper/group_replica.h"
 
 #include "cassia/base/digest.h"
 #include "cassia/base/log.h"
--- a/lib/keeper/group_snapshots.cpp
+++ b/lib/keeper/group_snapshots.cpp
@@ -1,6 +1,6 @@
 // Snapshots between members of a group.
 
-#include "cassia/keeper/group_host.h"
+#include "cassia/keeper/group_replica.h"
 
 #include "cassia/base/log.h"
 #include "cassia/schema/messages.pb.h"
--- a/lib/keeper/founding.cpp
+++ b/lib/keeper/membership_planner.cpp
@@ -1,4 +1,4 @@
-#include "cassia/keeper/founding.h"
+#include "cassia/keeper/membership_planner.h"
 
 #include <algorithm>
 
--- a/tools/cassia-bench.cpp
+++ b/tools/cassia-bench.cpp
@@ -3,7 +3,7 @@
 
 #include "cassia/base/clock.h"
 #include "cassia/keeper/disk_writer.h"
-#include "cassia/keeper/group_host.h"
+#include "cassia/keeper/group_replica.h"
 #include "cassia/keeper/store.h"
 #include "cassia/net/task.h"
 #include "cassia/schema/messages.pb.h"
--- a/unittests/keeper/entry_conversation_test.cpp
+++ b/unittests/keeper/gateway_heartbeat_test.cpp
@@ -1,7 +1,7 @@
 // What a keeper answers to the heartbeats of many entries.
 
 #include "cassia/keeper/heartbeat_queue.h"
-#include "cassia/keeper/table_delivery.h"
+#include "cassia/keeper/route_table_delivery.h"
 
 #include <catch2/catch.hpp>
 
--- a/unittests/keeper/founding_test.cpp
+++ b/unittests/keeper/membership_planner_test.cpp
@@ -1,6 +1,6 @@
 // How a cluster forms, and what replaces a lost disk.
 
-#include "cassia/keeper/founding.h"
+#include "cassia/keeper/membership_planner.h"
 #include "cassia/keeper/snapshot_transfer.h"
 #include "cassia/schema/messages.pb.h"
 
