--- a/include/cassia/keeper/endpoint_file.h
+++ b/include/cassia/keeper/endpoint_file.h
@@ -1,5 +1,5 @@
-/// The endpoints that a keeper knew, kept on its disk: after the loss of all processes gateways
-/// find them at once, not only as each announces itself again. Pure.
+/// Format of the file in which a keeper saves its endpoint directory. After a restart of the whole
+/// cluster, gateways can route to the saved endpoints before these announce themselves again. Pure.
 #pragma once
 
 #include "cassia/base/clock.h"
@@ -9,9 +9,11 @@
 
 namespace cassia::keeper {
 
-std::string encode_endpoints(const membership::directory& known, instant now);
-/// Adds what was written. Endpoints that don't announce themselves soon get no work after that.
-/// \returns how many; nothing is added of a content that can't be read.
-std::size_t decode_endpoints(membership::directory& known, const std::string& content, instant now);
+std::string encode_endpoints(const membership::directory& directory, instant now);
+/// Adds the saved endpoints to the directory. Those that don't announce themselves soon afterwards
+/// get no further work.
+/// \returns the number of endpoints read; 0 if the content can't be parsed.
+std::size_t decode_endpoints(membership::directory& directory, const std::string& content,
+                             instant now);
 
 } // namespace cassia::keeper
--- a/include/cassia/keeper/heartbeat_queue.h
+++ b/include/cassia/keeper/heartbeat_queue.h
@@ -1,4 +1,5 @@
-/// Heartbeats of entries that wait to be answered: the newest of each entry, in turns. Pure.
+/// Gateways' heartbeats that wait to be answered: only the latest of each gateway, served
+/// round-robin. Pure.
 #pragma once
 
 #include "cassia/schema/messages.pb.h"
@@ -11,14 +12,14 @@
 
 class heartbeat_queue {
 public:
-    void add(const schema::entry_hello& hello);
-    /// The next one, which waits no more; nothing if none waits.
+    void add(const schema::entry_hello& heartbeat);
+    /// Removes and returns the next heartbeat, if any.
     std::optional<schema::entry_hello> next();
-    bool empty() const { return waiting_.empty(); }
+    bool empty() const { return pending_.empty(); }
 
 private:
-    std::map<std::string, schema::entry_hello> waiting_;
-    std::string last_; ///< entry answered last
+    std::map<std::string, schema::entry_hello> pending_; ///< by gateway
+    std::string last_answered_;                          ///< gateway
 };
 
 } // namespace cassia::keeper
--- a/lib/keeper/disk_writer.cpp
+++ b/lib/keeper/disk_writer.cpp
@@ -8,7 +8,7 @@
 namespace cassia::keeper {
 
 namespace {
-constexpr milliseconds full_disk_pause(200);
+constexpr milliseconds full_disk_retry_interval(200);
 } // namespace
 
 disk_writer::disk_writer(net::task& owner, std::function<void(const storage::error&)> on_failure)
@@ -23,22 +23,22 @@
     thread_.start();
 }
 
-void disk_writer::submit(work write, std::function<void()> done) {
+void disk_writer::submit(write_function write, std::function<void()> done) {
     thread_.post([this, write = std::move(write), done = std::move(done)] {
-        // After a failed sync the kernel may have dropped the pages: a later sync that succeeds
-        // would say nothing about them, so nothing is written any more.
+        // After a failed sync the kernel may have dropped the dirty pages. A later sync that
+        // succeeds would say nothing about them, so nothing is written any more.
         if (failed_)
             return;
         storage::result<void> written = write();
-        // A full disk is waited for: nothing that was to be written is acknowledged meanwhile, the
-        // other members go on without this one, and a process that ended over it would find the
-        // disk as full after its restart.
-        for (bool told = false;
+        // If the disk is full, the write is retried until there is room. Nothing that depends on it
+        // is acknowledged meanwhile and the other members carry on; exiting would not help, as the
+        // disk would still be full after the restart.
+        for (bool logged = false;
              !written && written.error().code == storage::errc::no_space && !stopping_;) {
-            if (!told)
+            if (!logged)
                 log_warning("disk_full").with("cause", written.error().text);
-            told = true;
-            std::this_thread::sleep_for(full_disk_pause);
+            logged = true;
+            std::this_thread::sleep_for(full_disk_retry_interval);
             written = write();
             if (written)
                 log_info("disk_has_room");
@@ -48,7 +48,7 @@
             return;
         }
         failed_ = true;
-        owner_.post([this, problem = written.error()] { on_failure_(problem); });
+        owner_.post([this, error = written.error()] { on_failure_(error); });
     });
 }
 
--- a/lib/keeper/endpoint_file.cpp
+++ b/lib/keeper/endpoint_file.cpp
@@ -3,27 +3,28 @@
 namespace cassia::keeper {
 
 namespace {
-// Those that live announce themselves each second or so; gateways believe a word for 3 s.
+// Live endpoints announce themselves about once a second, and gateways trust an announcement for
+// 3 s. An age of 1 s leaves a live endpoint 2 s to announce itself.
 constexpr milliseconds restored_age(1000);
 } // namespace
 
-std::string encode_endpoints(const membership::directory& known, instant now) {
+std::string encode_endpoints(const membership::directory& directory, instant now) {
     schema::endpoint_list list;
-    for (schema::endpoint_record& record : known.records_since(0, now)) {
+    for (schema::endpoint_record& record : directory.records_since(0, now)) {
         record.clear_load();
         *list.add_endpoints() = std::move(record);
     }
     return list.SerializeAsString();
 }
 
-std::size_t decode_endpoints(membership::directory& known, const std::string& content,
+std::size_t decode_endpoints(membership::directory& directory, const std::string& content,
                              instant now) {
     schema::endpoint_list list;
     if (!list.ParseFromString(content))
         return 0;
     for (schema::endpoint_record& record : *list.mutable_endpoints()) {
         record.set_age_ms(static_cast<std::uint32_t>(restored_age.count()));
-        known.told(record, now);
+        directory.told(record, now);
     }
     return static_cast<std::size_t>(list.endpoints_size());
 }
--- a/lib/keeper/heartbeat_queue.cpp
+++ b/lib/keeper/heartbeat_queue.cpp
@@ -4,21 +4,21 @@
 
 namespace cassia::keeper {
 
-void heartbeat_queue::add(const schema::entry_hello& hello) {
-    waiting_[hello.entry()] = hello;
+void heartbeat_queue::add(const schema::entry_hello& heartbeat) {
+    pending_[heartbeat.entry()] = heartbeat;
 }
 
-// By name behind the one answered last: a keeper that can't answer all would otherwise never reach
-// those at the end.
+// Continues, in the order of names, after the gateway answered last. Always starting at the front
+// would never reach the last gateways on a keeper that can't answer all heartbeats.
 std::optional<schema::entry_hello> heartbeat_queue::next() {
-    if (waiting_.empty())
+    if (pending_.empty())
         return std::nullopt;
-    auto found = waiting_.upper_bound(last_);
-    found = found == waiting_.end() ? waiting_.begin() : found;
-    schema::entry_hello hello = std::move(found->second);
-    last_ = found->first;
-    waiting_.erase(found);
-    return hello;
+    auto found = pending_.upper_bound(last_answered_);
+    found = found == pending_.end() ? pending_.begin() : found;
+    schema::entry_hello heartbeat = std::move(found->second);
+    last_answered_ = found->first;
+    pending_.erase(found);
+    return heartbeat;
 }
 
 } // namespace cassia::keeper
--- a/lib/keeper/store.cpp
+++ b/lib/keeper/store.cpp
@@ -30,75 +30,76 @@
     const storage::result<void> made = storage::make_folder(folder_);
     if (!made)
         return failure(made.error());
-    storage::result<recovered_store> found = recover();
-    if (found || found.error().code != storage::errc::corrupt)
-        return found;
-    log_error("disk_damaged").with("cause", found.error().text);
-    const storage::result<void> aside = set_aside();
-    if (!aside)
-        return failure(aside.error());
-    storage::result<recovered_store> renewed = recover();
-    if (renewed)
-        renewed.value().renewed = true;
-    return renewed;
+    storage::result<recovered_store> recovered = recover();
+    if (recovered || recovered.error().code != storage::errc::corrupt)
+        return recovered;
+    log_error("disk_damaged").with("cause", recovered.error().text);
+    const storage::result<void> moved = move_damaged_folder();
+    if (!moved)
+        return failure(moved.error());
+    storage::result<recovered_store> empty = recover();
+    if (empty)
+        empty.value().reset = true;
+    return empty;
 }
 
 storage::result<recovered_store> store::recover() {
     log_ = std::make_unique<storage::write_ahead_log>(folder_, segment_bytes_, disk_);
-    recovered_store found;
+    recovered_store recovered;
     const storage::result<disk_id> identity = load_identity();
     if (!identity)
         return failure(identity.error());
-    found.disk = identity.value();
-    const storage::result<void> snapshots = load_snapshots(found);
+    recovered.disk = identity.value();
+    const storage::result<void> snapshots = load_snapshots(recovered);
     if (!snapshots)
         return failure(snapshots.error());
 
-    std::uint32_t first_segment = found.groups.empty() ? 1 : UINT32_MAX;
-    for (const std::pair<const group_id, recovered_group>& group : found.groups)
+    std::uint32_t first_segment = recovered.groups.empty() ? 1 : UINT32_MAX;
+    for (const std::pair<const group_id, recovered_group>& group : recovered.groups)
         first_segment = std::min(first_segment, group.second.snapshot->replay_segment());
     std::optional<storage::position> unreadable;
-    const storage::result<void> replayed = log_->recover(
-        first_segment, [&found, &unreadable](const storage::position& at, std::string_view bytes) {
+    const storage::result<void> replayed =
+        log_->recover(first_segment, [&recovered, &unreadable](const storage::position& at,
+                                                               std::string_view bytes) {
             schema::wal_record record;
             if (!record.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) {
                 unreadable = at;
                 return;
             }
-            auto group = found.groups.find(group_id(record.group()));
-            if (group == found.groups.end())
+            auto group = recovered.groups.find(group_id(record.group()));
+            if (group == recovered.groups.end())
                 return;
-            recovered_group& state = group->second;
+            recovered_group& target = group->second;
             if (record.has_state()) {
                 const term_number term(record.state().term());
-                if (term >= state.vote.term)
-                    state.vote = {term, disk_id(record.state().voted_for())};
+                if (term >= target.vote.term)
+                    target.vote = {term, disk_id(record.state().voted_for())};
                 return;
             }
-            const std::uint64_t base = state.snapshot->index();
-            const auto cut_to = [&state, base](std::uint64_t index) {
-                while (!state.entries.empty() && base + state.entries.size() > index) {
-                    state.entries.pop_back();
-                    state.positions.pop_back();
+            const std::uint64_t base = target.snapshot->index();
+            const auto truncate_after = [&target, base](std::uint64_t index) {
+                while (!target.entries.empty() && base + target.entries.size() > index) {
+                    target.entries.pop_back();
+                    target.positions.pop_back();
                 }
             };
             if (record.record_case() == schema::wal_record::kCutAfter)
-                cut_to(record.cut_after());
+                truncate_after(record.cut_after());
             if (!record.has_entry() || record.entry().index() <= base)
                 return;
-            cut_to(record.entry().index() - 1);
-            if (record.entry().index() != base + state.entries.size() + 1)
+            truncate_after(record.entry().index() - 1);
+            if (record.entry().index() != base + target.entries.size() + 1)
                 return;
-            state.entries.push_back(
+            target.entries.push_back(
                 std::make_shared<const schema::log_entry>(std::move(*record.mutable_entry())));
-            state.positions.push_back(at);
+            target.positions.push_back(at);
         });
     if (!replayed)
         return failure(replayed.error());
     if (unreadable)
         return failure(
             storage::error{storage::errc::corrupt, "log holds a record of no known form"});
-    return found;
+    return recovered;
 }
 
 storage::result<disk_id> store::load_identity() {
@@ -111,17 +112,19 @@
     }
     if (content.error().code != storage::errc::missing)
         return failure(content.error());
-    // Made before anything else is written, so that whatever this disk promises, it promises under
-    // this identity; a folder that lost it can't be taken for the same disk.
-    const std::string name = random_name("");
-    const storage::result<void> written = storage::write_file(disk_, folder_, identity_file, name);
+    // The identity is written before anything else, so that every vote and acknowledgement that
+    // relies on this disk is given under it. A folder that lost its identity file can't be taken
+    // for the same disk.
+    const std::string identity = random_name("");
+    const storage::result<void> written =
+        storage::write_file(disk_, folder_, identity_file, identity);
     if (!written)
         return failure(written.error());
-    log_info("disk_identity_made").with("disk", name);
-    return disk_id(std::strtoull(name.c_str(), nullptr, hexadecimal));
+    log_info("disk_identity_made").with("disk", identity);
+    return disk_id(std::strtoull(identity.c_str(), nullptr, hexadecimal));
 }
 
-storage::result<void> store::load_snapshots(recovered_store& found) {
+storage::result<void> store::load_snapshots(recovered_store& recovered) {
     for (const std::string& name : storage::list_files(folder_, snapshot_prefix)) {
         if (name.size() > 4 && name.substr(name.size() - 4) == ".tmp")
             continue;
@@ -136,21 +139,21 @@
                                               static_cast<int>(frame->payload.size()));
         if (!readable)
             return failure(storage::error{storage::errc::corrupt, "damaged snapshot " + name});
-        recovered_group& group = found.groups[group_id(snapshot->group())];
+        recovered_group& group = recovered.groups[group_id(snapshot->group())];
         group.vote = {term_number(snapshot->hard().term()), disk_id(snapshot->hard().voted_for())};
         group.snapshot = std::move(snapshot);
     }
     return success();
 }
 
-// The damaged files are kept for whoever wants to look into them.
-storage::result<void> store::set_aside() {
+// The damaged files are kept for later analysis.
+storage::result<void> store::move_damaged_folder() {
     log_.reset();
-    const std::string aside = folder_ + ".damaged-" + std::to_string(to_unix_ms(wall_now()));
-    if (g_rename(folder_.c_str(), aside.c_str()) != 0)
+    const std::string damaged = folder_ + ".damaged-" + std::to_string(to_unix_ms(wall_now()));
+    if (g_rename(folder_.c_str(), damaged.c_str()) != 0)
         return failure(
-            storage::error{storage::errc::cannot_write, aside + ": " + std::strerror(errno)});
-    log_warning("disk_set_aside").with("folder", aside);
+            storage::error{storage::errc::cannot_write, damaged + ": " + std::strerror(errno)});
+    log_warning("disk_set_aside").with("folder", damaged);
     return storage::make_folder(folder_);
 }
 
--- a/unittests/keeper/endpoint_file_test.cpp
+++ b/unittests/keeper/endpoint_file_test.cpp
@@ -1,4 +1,4 @@
-// Endpoints that a keeper finds on its disk after the loss of all processes.
+// The endpoint directory as a keeper reads it from disk after a restart of the whole cluster.
 
 #include "cassia/keeper/endpoint_file.h"
 
@@ -13,8 +13,8 @@
 
 const instant start(std::chrono::seconds(100));
 
-schema::endpoint_record endpoint(const std::string& id, std::uint64_t sequence,
-                                 bool leaving = false) {
+schema::endpoint_record make_endpoint(const std::string& id, std::uint64_t sequence,
+                                      bool leaving = false) {
     schema::endpoint_record record;
     record.set_id(id);
     record.set_incarnation(7);
@@ -25,47 +25,47 @@
     return record;
 }
 
-std::set<std::string> serving(const membership::directory& known, instant now) {
+std::set<std::string> serving_ids(const membership::directory& directory, instant now) {
     std::set<std::string> ids;
-    for (const membership::endpoint_entry* one : known.serving(now))
-        ids.insert(one->record.id());
+    for (const membership::endpoint_entry* endpoint : directory.serving(now))
+        ids.insert(endpoint->record.id());
     return ids;
 }
 
 } // namespace
 
-TEST_CASE("endpoints known before the loss of all processes serve at once", "[keeper]") {
+TEST_CASE("endpoints saved before a restart of the whole cluster serve at once", "[keeper]") {
     membership::directory before({});
-    before.announced(endpoint("1", 5), start);
-    before.announced(endpoint("2", 5), start);
-    before.announced(endpoint("3", 5, true), start);
+    before.announced(make_endpoint("1", 5), start);
+    before.announced(make_endpoint("2", 5), start);
+    before.announced(make_endpoint("3", 5, true), start);
     const std::string content = encode_endpoints(before, start);
     membership::directory after({});
     CHECK(decode_endpoints(after, content, start) == 3);
-    CHECK(serving(after, start) == std::set<std::string>{"1", "2"});
-    SECTION("and not for long, if they are heard no more") {
-        after.announced(endpoint("1", 6), start + milliseconds(900));
-        CHECK(serving(after, start + milliseconds(2100)) == std::set<std::string>{"1"});
+    CHECK(serving_ids(after, start) == std::set<std::string>{"1", "2"});
+    SECTION("until their silence times out") {
+        after.announced(make_endpoint("1", 6), start + milliseconds(900));
+        CHECK(serving_ids(after, start + milliseconds(2100)) == std::set<std::string>{"1"});
     }
-    SECTION("and not once they leave") {
-        after.announced(endpoint("2", 6, true), start + milliseconds(100));
-        CHECK(serving(after, start + milliseconds(200)) == std::set<std::string>{"1"});
+    SECTION("until they announce that they leave") {
+        after.announced(make_endpoint("2", 6, true), start + milliseconds(100));
+        CHECK(serving_ids(after, start + milliseconds(200)) == std::set<std::string>{"1"});
     }
-    SECTION("an announcement from before the loss brings none back") {
-        after.announced(endpoint("3", 4), start + milliseconds(100));
-        CHECK(serving(after, start + milliseconds(200)) == std::set<std::string>{"1", "2"});
+    SECTION("a delayed announcement doesn't revive a leaving endpoint") {
+        after.announced(make_endpoint("3", 4), start + milliseconds(100));
+        CHECK(serving_ids(after, start + milliseconds(200)) == std::set<std::string>{"1", "2"});
     }
-    SECTION("another process at the address of one ends it") {
-        schema::endpoint_record other = endpoint("9", 1);
-        other.set_address("10.0.0.1:1");
-        other.set_incarnation(8);
-        after.announced(other, start + milliseconds(100));
-        CHECK(serving(after, start + milliseconds(200)) == std::set<std::string>{"2", "9"});
+    SECTION("a new process at the same address replaces the old one") {
+        schema::endpoint_record successor = make_endpoint("9", 1);
+        successor.set_address("10.0.0.1:1");
+        successor.set_incarnation(8);
+        after.announced(successor, start + milliseconds(100));
+        CHECK(serving_ids(after, start + milliseconds(200)) == std::set<std::string>{"2", "9"});
     }
 }
 
-TEST_CASE("a file of endpoints that is damaged restores none", "[keeper]") {
+TEST_CASE("a damaged endpoint file restores no endpoints", "[keeper]") {
     membership::directory after({});
     CHECK(decode_endpoints(after, "\xff\xff", start) == 0);
-    CHECK(serving(after, start).empty());
+    CHECK(serving_ids(after, start).empty());
 }
