--- a/include/cassia/keeper/group_change_logger.h
+++ b/include/cassia/keeper/group_change_logger.h
@@ -1,4 +1,4 @@
-/// Logs who leads a group and who belongs to it, each time that this changes.
+/// Logs each change of a group's leader and members.
 #pragma once
 
 #include "cassia/base/ids.h"
@@ -9,11 +9,12 @@
 
 namespace cassia::keeper {
 
-class group_watch {
+class group_change_logger {
 public:
-    group_watch(group_id group, metrics& counts) : group_(group), metrics_(counts) {}
+    group_change_logger(group_id group, metrics& registry) : group_(group), metrics_(registry) {}
 
-    void look(const consensus::raft_group& raft);
+    /// Compares the group with what was logged last.
+    void observe(const consensus::raft_group& raft);
 
 private:
     group_id group_;
--- a/include/cassia/keeper/group_replica.h
+++ b/include/cassia/keeper/group_replica.h
@@ -1,4 +1,5 @@
-/// One replicated group in a keeper: the consensus, the state it drives, and its snapshots.
+/// A keeper's replica of one Raft group: the consensus module, the replicated state machine and its
+/// snapshots.
 #pragma once
 
 #include "cassia/base/clock.h"
@@ -28,97 +29,103 @@
     milliseconds snapshot_interval{0}; ///< see snapshot_schedule
 };
 
-/// What waits for the next sync of the log.
-struct awaiting_sync {
-    struct mark {
+/// What has to wait until the log's current batch is synced.
+struct pending_sync {
+    /// The last entry that a group appended to the batch.
+    struct appended_entry {
         group_id group;
         std::uint64_t index = 0;
         term_number term;
     };
     std::vector<schema::raft_message> messages;
-    std::vector<mark> persisted;
+    std::vector<appended_entry> appended;
 
     bool empty() const;
 };
 
-class group_host {
+class group_replica {
 public:
-    /// Gets the reply of a command once it is applied. Unavailable if this member doesn't lead, or
-    /// stopped leading before it knew the outcome.
-    using reply_function = std::function<void(schema::keeper_reply)>;
-
-    /// \param log_writer writes the log, and whatever must follow it in order.
-    /// \param snapshot_writer writes snapshots, which would hold up the log.
-    group_host(group_settings settings, state_machine machine, store& disk, disk_writer& log_writer,
-               disk_writer& snapshot_writer, std::function<void()> on_actions);
-    ~group_host();
-
-    /// Continues from what the disk holds.
-    bool recover(const recovered_group& found, instant now);
-    /// Starts the group with its first members; the snapshot of it must be written by the caller.
-    void found(const consensus::member_list& founders, instant now);
+    /// Receives the reply of a command once it is applied: `not_leader` if this member doesn't lead
+    /// when the command is proposed, `unavailable` if it loses leadership before the outcome is
+    /// known.
+    using reply_callback = std::function<void(schema::keeper_reply)>;
+
+    /// \param log_writer writes the log, and whatever must be written after it.
+    /// \param snapshot_writer writes snapshots, which would delay the log.
+    /// \param on_actions_pending called when perform_actions() has something to do.
+    group_replica(group_settings settings, state_machine machine, store& keeper_store,
+                  disk_writer& log_writer, disk_writer& snapshot_writer,
+                  std::function<void()> on_actions_pending);
+    ~group_replica();
+
+    /// Restores the state that was read from disk. \returns false if the snapshot is unreadable.
+    bool recover(const recovered_group& recovered, instant now);
+    /// Starts the group with its initial members. The caller must write the first snapshot.
+    void bootstrap(const consensus::member_list& members, instant now);
     schema::group_snapshot make_snapshot() const;
 
     void tick(instant now);
     void receive(const schema::raft_message& message, instant now);
-    void propose(std::string command, reply_function reply, instant now);
+    void propose(std::string command, reply_callback reply, instant now);
     /// Adds a member, promotes one that has caught up, or removes one; a no-op unless it leads.
     void change_members(const consensus::member_list& members, instant now);
-    void hand_over(instant now);
+    void transfer_leadership(instant now);
 
-    /// Performs the pending actions: appends to the log, applies what is committed.
-    /// \returns messages that may go at once; the others join `awaiting`.
-    std::vector<schema::raft_message> perform(awaiting_sync& awaiting, instant now);
-    void persisted(std::uint64_t index, term_number term);
+    /// Performs the consensus module's pending actions: appends to the log, applies what is
+    /// committed.
+    /// \returns messages that may be sent at once; those that may not are added to `pending`.
+    std::vector<schema::raft_message> perform_actions(pending_sync& pending, instant now);
+    /// The log is synced up to this entry of the group.
+    void on_persisted(std::uint64_t index, term_number term);
 
-    bool founded() const { return founded_; }
+    bool is_bootstrapped() const { return bootstrapped_; }
     const consensus::raft_group& raft() const { return *raft_; }
-    /// Segments below this one are of no use to the group.
+    /// The group needs no log segment below this one.
     std::uint32_t oldest_segment() const { return oldest_segment_; }
 
 private:
-    struct pending_reply {
+    struct pending_proposal {
         term_number term;
-        reply_function reply;
+        reply_callback reply;
     };
 
-    void write_actions(consensus::raft_actions& actions, awaiting_sync& awaiting);
-    void apply(const consensus::entry_pointer& entry);
-    void fail_pending();
-    void maybe_snapshot(instant now);
+    void append_to_log(consensus::raft_actions& actions, pending_sync& pending);
+    void apply_entry(const consensus::entry_pointer& entry);
+    void fail_pending_proposals();
+    void take_snapshot_if_due(instant now);
     void write_snapshot(const std::shared_ptr<schema::group_snapshot>& snapshot,
                         std::function<void()> done);
-    void snapshot_written(const schema::group_snapshot& snapshot);
-    void start_transfer(disk_id member);
-    void continue_transfers(instant now, std::vector<schema::raft_message>& out);
-    void receive_part(const schema::raft_message& message, instant now,
-                      std::vector<schema::raft_message>& out);
-    void install(disk_id leader, instant now);
+    void on_snapshot_written(const schema::group_snapshot& snapshot);
+    void start_snapshot_transfer(disk_id member);
+    void continue_snapshot_transfers(instant now, std::vector<schema::raft_message>& out);
+    void receive_snapshot_part(const schema::raft_message& message, instant now,
+                               std::vector<schema::raft_message>& out);
+    void install_snapshot(disk_id leader, instant now);
     schema::raft_message make_message(int kind, disk_id to) const;
 
     group_settings settings_;
-    state_machine machine_;
-    store& disk_;
+    state_machine state_machine_;
+    store& store_;
     disk_writer& log_writer_;
     disk_writer& snapshot_writer_;
-    std::function<void()> on_actions_;
+    std::function<void()> on_actions_pending_;
     std::unique_ptr<consensus::raft_group> raft_;
-    bool founded_ = false;
+    bool bootstrapped_ = false;
 
-    std::deque<storage::position> positions_; ///< of the log's entries, from first_position_ on
-    std::uint64_t first_position_ = 1;        ///< index of positions_.front()
-    std::map<std::uint64_t, pending_reply> pending_;
+    std::deque<storage::position> positions_; ///< of the log entries from first_position_index_ on
+    std::uint64_t first_position_index_ = 1;  ///< log index of positions_.front()
+    std::map<std::uint64_t, pending_proposal> pending_proposals_; ///< by log index
 
-    snapshot_schedule snapshots_;
-    bool snapshotting_ = false;
+    snapshot_schedule snapshot_schedule_;
+    bool snapshot_in_progress_ = false;
     std::uint64_t snapshot_index_ = 0;
-    std::uint32_t replay_segment_ = 1;
+    std::uint32_t replay_segment_ = 1; ///< first segment that a restart reads
     std::uint32_t oldest_segment_ = 1;
     std::uint64_t bytes_since_snapshot_ = 0;
 
-    std::map<disk_id, snapshot_sender> senders_;
-    snapshot_receiver receiver_;
-    bool installing_ = false;
+    std::map<disk_id, snapshot_sender> snapshot_senders_; ///< by member, on the leader
+    snapshot_receiver snapshot_receiver_;
+    bool install_in_progress_ = false;
 };
 
 } // namespace cassia::keeper
--- a/include/cassia/keeper/membership_planner.h
+++ b/include/cassia/keeper/membership_planner.h
@@ -1,5 +1,5 @@
-/// How keepers form a cluster once, and what a leader changes to replace a member whose disk is
-/// gone. Pure.
+/// Decides the initial members of a Raft group, and the membership changes by which its leader
+/// grows it, replaces a member that lost its disk, or removes one that is being retired. Pure.
 #pragma once
 
 #include "cassia/base/clock.h"
@@ -13,52 +13,52 @@
 
 namespace cassia::keeper {
 
-/// What a keeper last said of itself.
-struct keeper_sighting {
+/// What a keeper last reported about itself.
+struct keeper_status {
     std::string node;
     disk_id disk;
     std::string address;
     bool empty = false; ///< its disk holds no group
-    instant seen{};
+    instant last_seen{};
 };
 
-class founding {
+class membership_planner {
 public:
-    /// \param founders nodes that found the cluster, from settings.
-    explicit founding(std::vector<std::string> founders);
+    /// \param nodes names of the initial members, from settings.
+    explicit membership_planner(std::vector<std::string> nodes);
 
-    /// Names the founders anew, where they are decided later than the process starts.
-    void set_founders(std::vector<std::string> founders);
-    /// How many members a group grows to; as many as founders if not set.
-    void set_target(std::size_t members) { target_ = members; }
-    /// Disks that are to leave their groups, and join none.
+    /// Replaces the initial members, for a group whose members are decided at run time.
+    void set_initial_nodes(std::vector<std::string> nodes);
+    /// Number of members that the group grows to; by default the number of initial members.
+    void set_target_size(std::size_t members) { target_size_ = members; }
+    /// Disks to be removed from the group; they are never added to it.
     void set_retiring(std::set<disk_id> disks) { retiring_ = std::move(disks); }
     bool is_retiring(disk_id disk) const { return retiring_.count(disk) > 0; }
 
-    void saw(const keeper_sighting& sighting);
-    /// Where the keeper with this disk is reached; empty if it never said so.
+    void update(const keeper_status& status);
+    /// Peer address of the keeper with this disk; empty if it has not reported itself.
     peer_address address_of(disk_id disk) const;
 
-    /// The first members, once every founder has said lately that its disk is empty. A cluster
-    /// never forms from fewer: those missing may hold promises.
-    std::optional<consensus::member_list> first_members(instant now) const;
+    /// The initial members, once each of them has recently reported an empty disk. A group is never
+    /// bootstrapped from fewer: a missing one may have voted or acknowledged entries.
+    std::optional<consensus::member_list> initial_members(instant now) const;
 
-    /// The next change of one group's members that its leader should propose, or nothing.
+    /// The next membership change that the leader of `group` should propose, if any.
     std::optional<consensus::member_list> next_change(const consensus::raft_group& group,
                                                       instant now) const;
 
 private:
-    bool is_recent(const keeper_sighting& one, instant now) const;
+    bool is_recent(const keeper_status& status, instant now) const;
 
-    bool may_join(const consensus::member_list& members, const keeper_sighting& one,
-                  const consensus::raft_group& group, instant now) const;
-    bool may_leave(const consensus::member_list& members, const consensus::member& one,
-                   const consensus::raft_group& group, instant now) const;
+    bool may_add(const consensus::member_list& members, const keeper_status& candidate,
+                 const consensus::raft_group& group, instant now) const;
+    bool may_remove(const consensus::member_list& members, const consensus::member& candidate,
+                    const consensus::raft_group& group, instant now) const;
 
-    std::vector<std::string> founders_;
-    std::size_t target_ = 0;
+    std::vector<std::string> initial_nodes_;
+    std::size_t target_size_ = 0;
     std::set<disk_id> retiring_;
-    std::map<std::string, keeper_sighting> seen_; ///< by node
+    std::map<std::string, keeper_status> keepers_; ///< by node
 };
 
 } // namespace cassia::keeper
--- a/include/cassia/keeper/route_table_delivery.h
+++ b/include/cassia/keeper/route_table_delivery.h
@@ -1,4 +1,4 @@
-/// Which table of routes an entry was sent last. Pure.
+/// Tracks which version of the route table a gateway was sent last. Pure.
 #pragma once
 
 #include "cassia/base/clock.h"
@@ -7,27 +7,27 @@
 
 namespace cassia::keeper {
 
-class table_delivery {
+class route_table_delivery {
 public:
-    void sent(std::uint64_t version, instant now) {
+    void on_sent(std::uint64_t version, instant now) {
         version_ = version;
-        at_ = now;
+        sent_at_ = now;
     }
-    /// Another process of the entry has none yet.
-    void restarted() { version_ = 0; }
-    /// Whether the entry is to be sent the newest table.
-    /// \param known version that the entry says it has.
-    bool is_due(std::uint64_t newest, std::uint64_t known, instant now) const {
-        const bool on_its_way = version_ == newest && now - at_ < resent_after;
-        return known < newest && !on_its_way;
+    /// The gateway was restarted and has no table yet.
+    void reset() { version_ = 0; }
+    /// Whether the latest table should be sent.
+    /// \param known version that the gateway reports to have.
+    bool is_due(std::uint64_t latest, std::uint64_t known, instant now) const {
+        const bool in_transit = version_ == latest && now - sent_at_ < resend_interval;
+        return known < latest && !in_transit;
     }
 
 private:
-    /// Longer than a lost packet takes to come again.
-    static constexpr milliseconds resent_after{500};
+    /// Longer than the retransmission of a lost packet takes.
+    static constexpr milliseconds resend_interval{500};
 
     std::uint64_t version_ = 0;
-    instant at_{};
+    instant sent_at_{};
 };
 
 } // namespace cassia::keeper
--- a/include/cassia/keeper/service.h
+++ b/include/cassia/keeper/service.h
@@ -1,4 +1,7 @@
-/// A keeper: the groups it hosts, and its conversations with other keepers and with entries.
+/// A keeper: its replicas of the Raft groups, and the messages that it exchanges with other keepers
+/// and with gateways.
+///
+/// Gateways are the processes that accept callers' requests; the message schema calls them entries.
 #pragma once
 
 #include "cassia/base/metrics.h"
@@ -34,173 +37,180 @@
     explicit service(schema::keeper_settings settings);
     ~service();
 
-    /// Opens disk and sockets. \returns an empty string or what went wrong.
+    /// Opens disk and sockets. \returns an error message, empty on success.
     std::string open();
     /// Serves until told to stop. \returns the exit code.
     int run();
 
-    // For an interface that runs on this keeper's task (service_api.cpp).
+    // For an API server that runs on this keeper's task (service_api.cpp).
 
-    /// What became of a request that only the control group's leader can serve.
+    /// Result of a request that only the control group's leader can serve.
     enum class control_outcome {
         done,
-        not_leader, ///< another keeper leads; its address is handed over
-        unknown,    ///< no leader known, or the outcome can't be told
+        not_leader, ///< another keeper leads; its address is returned
+        unknown,    ///< no leader is known, or whether the request was applied is unknown
     };
     struct control_response {
         control_outcome outcome = control_outcome::unknown;
-        std::string leader_ip; ///< with `elsewhere`
+        std::string leader_ip; ///< with `not_leader`
         schema::route_table routes;
     };
-    using control_done = std::function<void(const control_response&)>;
-
-    /// Puts a checked table in force; done once it is durable on a majority.
-    void put_routes(const schema::route_table& table, const control_done& done);
-    /// The table that is in force now, or not done.
-    void read_routes(const control_done& done);
-    /// Takes an endpoint's word. `done(true)` once it can't be lost with this keeper: at once for
-    /// a sign of life, and for the end of its service once another keeper has it too.
+    using control_callback = std::function<void(const control_response&)>;
+
+    /// Puts a validated route table in force; done once it is committed and applied.
+    void put_routes(const schema::route_table& table, const control_callback& done);
+    /// Returns the route table in force, by a linearizable read.
+    void read_routes(const control_callback& done);
+    /// Records an endpoint's announcement. Calls `done(true)` once losing this keeper can't lose
+    /// it: at once for a heartbeat; when the endpoint is leaving or gone, after a majority of the
+    /// control group has it. Calls `done(false)` if that takes too long.
     void announce_endpoint(const schema::endpoint_record& record, std::function<void(bool)> done);
-    /// An endpoint says that it ends. \param incarnation 0: the one that is known.
+    /// Records that an endpoint is gone. \param incarnation 0: the latest known one.
     void remove_endpoint(const endpoint_id& endpoint, std::uint64_t incarnation,
                          std::function<void(bool)> done);
     enum class retire_outcome { done, not_found, too_few_keepers, not_leader, unknown };
     struct retire_response {
         retire_outcome outcome = retire_outcome::unknown;
-        std::string leader_ip; ///< with `elsewhere`
+        std::string leader_ip; ///< with `not_leader`
     };
-    /// Begins to empty a keeper of its work groups.
+    /// Starts to remove a keeper from all work groups, so that its VM can be taken away.
     void retire_keeper(const std::string& name,
                        const std::function<void(const retire_response&)>& done);
-    /// Whether a keeper that is being emptied belongs to no group any more; nothing if it isn't
-    /// being emptied, as far as this keeper knows.
+    /// Whether a retiring keeper is no longer a member of any work group; nothing if, as far as
+    /// this keeper knows, it isn't retiring.
     std::optional<bool> is_keeper_retired(const std::string& name) const;
-    /// Entries that live and take new connections.
+    /// Gateways that are alive and take new connections.
     std::vector<schema::entry_hello> serving_gateways() const;
-    /// Takes over what may change while it runs: the seeds.
+    /// Applies the settings that may change at run time: the seeds.
     void apply_settings(const schema::keeper_settings& changed);
     net::task& owner() { return task_; }
 
 private:
-    /// Silence after which others count as gone: ten hellos of a keeper, twelve of an entry.
-    static constexpr milliseconds keeper_alive{3000};
-    static constexpr milliseconds entry_alive{3000};
+    /// Silence after which a peer is presumed dead: ten hellos of a keeper, twelve of a gateway.
+    static constexpr milliseconds keeper_timeout{3000};
+    static constexpr milliseconds gateway_timeout{3000};
 
     struct work_group {
         state::work_state state;
         std::unique_ptr<work_leader> leader;
     };
-    struct known_entry {
-        schema::entry_hello hello;
-        instant seen{};
-        instant own_seen{}; ///< by this keeper itself
-        table_delivery table;
-        bool listed = false; ///< callers are sent to it, as last logged
+    struct known_gateway {
+        schema::entry_hello hello; ///< last heartbeat
+        instant last_seen{};       ///< by this keeper or another one
+        instant last_heartbeat{};  ///< received by this keeper
+        route_table_delivery route_table;
+        bool listed = false; ///< whether callers are directed to it, as last logged
     };
     struct known_keeper {
         schema::keeper_hello hello;
-        instant seen{};
+        instant last_seen{};
     };
-    /// An endpoint's word that waits until another keeper has it.
-    struct waiting_word {
-        std::uint64_t revision = 0;
-        instant until{};
+    /// An announcement that is acknowledged once a majority of the control group has it.
+    struct pending_announcement {
+        std::uint64_t revision = 0; ///< of the directory that includes it
+        instant deadline{};
         std::function<void(bool)> done;
     };
 
-    // Wiring (service.cpp).
+    // Set-up, Raft groups and log (service.cpp).
     void make_groups();
-    std::unique_ptr<group_host> make_host(group_id group, state_machine machine);
-    state_machine control_machine();
-    state_machine work_machine(work_group& group, group_id id);
-    void schedule_pump();
-    void pump();
+    std::unique_ptr<group_replica> make_replica(group_id group, state_machine machine);
+    state_machine make_control_state_machine();
+    state_machine make_work_state_machine(work_group& group, group_id id);
+    /// Runs process_groups() after the messages that are already queued for this task.
+    void schedule_processing();
+    void process_groups();
     void flush_log();
     peer_address address_of(const schema::raft_message& message) const;
     void send_raft(std::vector<schema::raft_message> messages);
     void tick();
-    void try_to_found();
-    void write_first_snapshots();
-    void on_disk_failure(const storage::error& problem);
+    void try_bootstrap();
+    void write_initial_snapshots();
+    void on_disk_failure(const storage::error& error);
     void shut_down();
     void remove_old_segments();
 
-    // Conversations (service_requests.cpp, service_gateways.cpp).
+    // Requests and messages (service_requests.cpp, service_gateways.cpp).
     void on_message(schema::envelope& message);
     void on_request(const schema::keeper_request& request, const std::string& reply_to);
-    void serve_work(const schema::keeper_request& request, const group_host::reply_function& reply);
-    void serve_held(const schema::held_items& held, group_id group, const std::string& reply_to);
+    void serve_work(const schema::keeper_request& request,
+                    const group_replica::reply_callback& reply);
+    void reconcile_held_items(const schema::held_items& held, group_id group,
+                              const std::string& reply_to);
     void serve_history(const schema::keeper_request& request,
-                       const group_host::reply_function& reply);
+                       const group_replica::reply_callback& reply);
     void propose_claim(const schema::work_command& command, group_id group,
-                       const group_host::reply_function& reply);
-    std::string leader_node(const group_host& host) const;
-    void take_heartbeat(const schema::entry_hello& hello);
-    void answer_heartbeats();
-    void on_entry_hello(const schema::entry_hello& hello);
-    void send_beacon(known_entry& entry);
-    void write_control_news(const known_entry& entry, schema::keeper_beacon& beacon) const;
-    void write_entries(const known_entry& entry, schema::keeper_beacon& beacon) const;
-    void write_keepers(const known_entry& entry, schema::keeper_beacon& beacon) const;
-    /// Writes the endpoints that a listener lacks, by what it says it has of this directory.
-    /// \param pulses whether it is also told which were heard and didn't change.
-    template <class Listener, class News>
-    void write_endpoints(const Listener& listener, News& news, bool pulses) const {
-        const bool known_epoch = listener.directory_epoch() == directory_epoch_;
-        const std::uint64_t known = known_epoch ? listener.directory_revision() : 0;
-        news.set_directory_epoch(directory_epoch_);
-        news.set_directory_revision(directory_.revision());
+                       const group_replica::reply_callback& reply);
+    std::string leader_node(const group_replica& replica) const;
+    void queue_heartbeat(const schema::entry_hello& hello);
+    void answer_queued_heartbeats();
+    void on_gateway_hello(const schema::entry_hello& hello);
+    void send_beacon(known_gateway& gateway);
+    void write_control_state(const known_gateway& gateway, schema::keeper_beacon& beacon) const;
+    void write_gateways(const known_gateway& gateway, schema::keeper_beacon& beacon) const;
+    void write_keepers(const known_gateway& gateway, schema::keeper_beacon& beacon) const;
+    /// Writes the endpoint records that a receiver lacks, going by the revision of this keeper's
+    /// directory that it reports to have.
+    /// \param with_pulses also writes which endpoints were heard again without a change.
+    template <class Receiver, class Target>
+    void write_endpoints(const Receiver& receiver, Target& target, bool with_pulses) const {
+        const bool same_epoch = receiver.directory_epoch() == directory_epoch_;
+        const std::uint64_t known = same_epoch ? receiver.directory_revision() : 0;
+        target.set_directory_epoch(directory_epoch_);
+        target.set_directory_revision(directory_.revision());
         for (schema::endpoint_record& record : directory_.records_since(known, monotonic_now()))
-            *news.add_endpoints() = std::move(record);
-        if (!pulses)
+            *target.add_endpoints() = std::move(record);
+        if (!with_pulses)
             return;
         for (schema::endpoint_pulse& pulse : directory_.pulses_since(known, monotonic_now()))
-            *news.add_pulses() = std::move(pulse);
+            *target.add_pulses() = std::move(pulse);
     }
-    /// Makes anew, once in `list_age`, what each hello of each entry asks for: who is there, and a
-    /// digest to be compared with what a listener knows.
+    /// Refreshes, at most once per `list_refresh_interval`, what would otherwise be computed for
+    /// each heartbeat: the list of live gateways, and the digest of the list of keepers.
     void refresh_lists(instant now);
     void on_keeper_hello(const schema::keeper_hello& hello);
     void send_keeper_hello(const peer_address& to);
     void on_config_applied();
-    void send_beacons_soon();
+    void schedule_beacon_push();
     void push_beacons();
     bool holds_items(const schema::entry_hello& hello) const;
     void write_sightings(schema::keeper_news& news) const;
-    void learn_sightings(const schema::keeper_news& news, instant now);
+    void merge_sightings(const schema::keeper_news& news, instant now);
 
     // State dump and metrics (service_http.cpp).
     std::string open_http();
     std::string metrics_text();
     std::string dump() const;
 
-    // Keepers that find each other by seeds (service_discovery.cpp).
+    // Discovery of other keepers by seeds, and what keepers tell each other
+    // (service_discovery.cpp).
     bool hosts_control() const { return settings_.groups() != "work"; }
     bool hosts_work() const { return settings_.groups() != "control"; }
     bool uses_seeds() const { return settings_.cluster().seed_size() > 0; }
     std::size_t group_size() const { return 2 * std::size_t{settings_.tolerated_losses()} + 1; }
-    std::vector<peer_address> keepers_to_greet() const;
-    /// Whether the work groups exist, and this keeper hosts none of them.
-    bool waits_as_spare() const;
-    void see_keeper(const schema::keeper_hello& hello, instant seen);
+    std::vector<peer_address> hello_targets() const;
+    /// Whether the work groups exist, and this keeper is a member of none of them.
+    bool is_idle_spare() const;
+    void record_keeper(const schema::keeper_hello& hello, instant seen);
     void send_news(const peer_address& to, const known_keeper& keeper);
     void on_news(const schema::keeper_news& news);
     void push_news();
-    void decide_work_founders();
-    void found_work_groups(const schema::group_members& founders);
+    void propose_work_group_members();
+    void bootstrap_work_groups(const schema::group_members& proto);
     const known_keeper* find_work_keeper(const std::string& name) const;
     std::set<disk_id> retiring_disks() const;
-    bool is_serving(const known_entry& entry, instant now) const;
-    void log_listed_entries();
-    void answer_waiting_words();
+    bool is_serving(const known_gateway& gateway, instant now) const;
+    void log_listed_gateways();
+    void answer_pending_announcements();
     void restore_endpoints();
     void save_endpoints();
     schema::keeper_hello own_hello(const peer_address& to) const;
     /// Disks of the members of the work groups.
     std::set<std::uint64_t> work_group_disks(instant now) const;
-    /// Whether a keeper hosts no group and waits to replace a member.
+    /// Whether a keeper is a member of no group and stands by to replace one.
+    /// \param members disks of the members of the work groups.
     static bool is_spare(const schema::keeper_hello& hello, const std::set<std::uint64_t>& members);
-    std::uint64_t keepers_digest() const;
+    std::uint64_t compute_keepers_digest() const;
 
     schema::keeper_settings settings_;
     net::task task_;
@@ -211,40 +221,40 @@
     std::unique_ptr<disk_writer> snapshot_writer_;
     std::unique_ptr<net::peer_hub> hub_;
     std::unique_ptr<net::http_server> http_;
-    founding founding_;
-    founding work_founding_{std::vector<std::string>()};
-    std::string node_; ///< name among the members of groups
+    membership_planner planner_; ///< of the control group, and without seeds of all groups
+    membership_planner work_planner_{std::vector<std::string>()}; ///< with seeds, of work groups
+    std::string node_; ///< name of this keeper among the members of groups
 
     state::control_state control_;
     std::map<group_id, work_group> work_;
-    std::map<group_id, std::unique_ptr<group_host>> hosts_;
-    std::map<group_id, group_watch> watches_;
-    awaiting_sync awaiting_;
+    std::map<group_id, std::unique_ptr<group_replica>> replicas_;
+    std::map<group_id, group_change_logger> change_loggers_;
+    pending_sync pending_sync_;
     std::size_t syncs_in_flight_ = 0;
-    bool pump_scheduled_ = false;
-    std::map<std::string, known_entry> entries_;
+    bool processing_scheduled_ = false;
+    std::map<std::string, known_gateway> gateways_;
     std::map<std::string, known_keeper> keepers_; ///< by node
     membership::directory directory_;
     const std::uint64_t directory_epoch_;
     membership::entry_roster roster_;
     std::map<std::string, std::pair<std::uint64_t, std::uint64_t>>
-        heard_revisions_; ///< epoch and revision of each keeper's directory, by its address
-    std::vector<waiting_word> waiting_words_;
-    instant work_founders_possible_{};
-    std::size_t retiring_known_ = 0;
-    std::uint64_t saved_changes_ = 0; ///< of the directory, as on the disk or on the way there
+        received_revisions_; ///< epoch and revision of each keeper's directory, by its address
+    std::vector<pending_announcement> pending_announcements_;
+    instant enough_candidates_since_{}; ///< to form the work groups; instant() while too few
+    std::size_t known_retiring_ = 0;
+    std::uint64_t saved_changes_ = 0; ///< of the directory: those saved or being saved
     bool saving_endpoints_ = false;
-    std::uint64_t beacon_ = 0;
+    std::uint64_t beacon_ = 0; ///< counts up while this keeper leads the control group
     std::uint64_t keepers_digest_ = 0;
-    instant lists_made_at_{};
-    consensus::member_list founders_;
-    heartbeat_queue waiting_heartbeats_;
+    instant lists_refreshed_at_{};
+    consensus::member_list initial_members_; ///< of the groups that this keeper helps to bootstrap
+    heartbeat_queue heartbeat_queue_;
     bool heartbeats_scheduled_ = false;
-    bool beacons_scheduled_ = false;
-    instant pushed_at_{};         ///< beacons, on a change
-    microseconds push_pause_{0};  ///< from then on until the next push
-    bool groups_founded_ = false; ///< as the control group told
-    std::uint32_t greetings_skipped_ = 0;
+    bool beacon_push_scheduled_ = false;
+    instant last_push_{};               ///< of beacons, because of a change
+    microseconds min_push_interval_{0}; ///< from the last push to the next
+    bool work_groups_formed_ = false;   ///< as the control group reports
+    std::uint32_t hello_rounds_ = 0;    ///< while this keeper is an idle spare
     bool stopping_ = false;
     int exit_code_ = 0;
 };
--- a/include/cassia/keeper/snapshot_schedule.h
+++ b/include/cassia/keeper/snapshot_schedule.h
@@ -1,4 +1,4 @@
-/// When a group's next snapshot is due. Pure.
+/// Decides when a group's next snapshot is due. Pure.
 #pragma once
 
 #include "cassia/base/clock.h"
@@ -11,22 +11,23 @@
 struct snapshot_backlog {
     std::uint64_t entries = 0;
     std::uint64_t bytes = 0;
-    std::uint32_t segments = 0; ///< of the log that a restart reads
+    std::uint32_t segments = 0; ///< log segments that a restart has to read
 };
 
 class snapshot_schedule {
 public:
-    /// \param most_entries between two snapshots.
-    /// \param interval after which any change is in a snapshot; 0: only size counts. What is in
-    /// one is known at once after a restart, what is behind it only once the group has a leader.
-    snapshot_schedule(std::uint64_t most_entries, milliseconds interval)
-        : most_entries_(most_entries), interval_(interval) {}
+    /// \param max_entries between two snapshots.
+    /// \param interval maximum age of a change that is in no snapshot yet; 0: only the size of the
+    /// backlog counts. After a restart, what a snapshot holds is available at once; what only the
+    /// log holds is available once the group has a leader.
+    snapshot_schedule(std::uint64_t max_entries, milliseconds interval)
+        : max_entries_(max_entries), interval_(interval) {}
 
     bool is_due(const snapshot_backlog& backlog, instant now) const;
-    void taken(instant now) { taken_at_ = now; }
+    void on_snapshot_taken(instant now) { taken_at_ = now; }
 
 private:
-    std::uint64_t most_entries_;
+    std::uint64_t max_entries_;
     milliseconds interval_;
     instant taken_at_{};
 };
--- a/include/cassia/keeper/snapshot_transfer.h
+++ b/include/cassia/keeper/snapshot_transfer.h
@@ -1,5 +1,6 @@
-/// How a member that the log can't bring up to date gets the state: numbered parts, each sent
-/// once the one before was taken. Bodies go first, the state last.
+/// Transfer of a snapshot to a member that the leader's log can no longer bring up to date. The
+/// snapshot is sent in numbered parts, each after the previous one was acknowledged: first the log
+/// records that the state refers to (bodies), then the state itself.
 #pragma once
 
 #include "cassia/base/clock.h"
@@ -19,58 +20,60 @@
 
 namespace cassia::keeper {
 
-/// The leader's side, for one member.
+/// The leader's side of a transfer to one member.
 class snapshot_sender {
 public:
     using command_reader = std::function<storage::result<std::string>(const storage::position& at)>;
 
+    /// \param positions of the log records that the state refers to.
     snapshot_sender(consensus::log_base base, std::string state,
-                    std::vector<storage::position> places);
+                    std::vector<storage::position> positions);
 
     std::uint64_t index() const { return base_.index; }
-    /// The part that is due, or nothing while an answer is awaited.
-    /// Fails if a body is gone from the log: the transfer has to start anew.
+    /// The part to send now; none while an acknowledgement is awaited.
+    /// Fails if a body is no longer in the log: the transfer has to be restarted.
     storage::result<std::optional<schema::snapshot_part>> next_part(instant now,
                                                                     const command_reader& read);
-    /// The member has taken the part of this number.
-    void taken(std::uint32_t number);
+    /// The member acknowledged the part with this number.
+    void on_acknowledged(std::uint32_t number);
     bool complete() const { return complete_; }
 
 private:
     consensus::log_base base_;
     std::string state_;
-    std::vector<storage::position> places_;
-    std::size_t first_place_ = 0; ///< of the part under way
-    std::size_t end_place_ = 0;
-    std::uint32_t number_ = 0;
-    bool last_ = false;
-    bool waiting_ = false;
+    std::vector<storage::position> positions_;
+    std::size_t part_begin_ = 0; ///< range of positions_ in the current part
+    std::size_t part_end_ = 0;
+    std::uint32_t part_number_ = 0;
+    bool is_last_part_ = false;
+    bool awaits_ack_ = false;
     bool complete_ = false;
     instant sent_at_{};
 };
 
-/// The member's side.
+/// The receiving member's side.
 class snapshot_receiver {
 public:
-    /// Appends a body to the own log and tells where.
+    /// Appends a body to this member's log and returns its position there.
     using body_writer = std::function<storage::position(const std::string& command)>;
 
-    enum class progress {
-        refused, ///< not the part that is due
-        taken,
-        complete ///< state(), base() and places() hold the snapshot
+    enum class part_result {
+        rejected, ///< not the expected part
+        accepted,
+        complete ///< state(), base() and relocations() hold the snapshot
     };
-    progress take(const schema::snapshot_part& part, const body_writer& write);
+    part_result receive(const schema::snapshot_part& part, const body_writer& write);
 
     const consensus::log_base& base() const { return base_; }
     const std::string& state() const { return state_; }
-    const position_map& places() const { return places_; }
+    /// From positions in the leader's log to those in this member's.
+    const position_map& relocations() const { return relocations_; }
 
 private:
     consensus::log_base base_;
     std::string state_;
-    position_map places_;
-    std::uint32_t next_ = 0;
+    position_map relocations_;
+    std::uint32_t next_part_number_ = 0;
 };
 
 } // namespace cassia::keeper
--- a/include/cassia/keeper/work_leader.h
+++ b/include/cassia/keeper/work_leader.h
@@ -1,5 +1,8 @@
-/// What only the leader of a work group does: hand out leases, take them back from entries that
-/// died or never got the reply, answer cancellations once they are in force, forget old jobs.
+/// Duties of a work group's leader: it leases items to holders, takes leases back from holders that
+/// died or never received them, answers cancellations once they are in force, and has old jobs
+/// removed.
+///
+/// A holder is one incarnation of a gateway, named "GATEWAY/INCARNATION".
 #pragma once
 
 #include "cassia/base/clock.h"
@@ -26,48 +29,50 @@
 namespace cassia::keeper {
 
 struct work_leader_hooks {
-    using reply_function = std::function<void(schema::keeper_reply)>;
+    using reply_callback = std::function<void(schema::keeper_reply)>;
 
-    std::function<void(const schema::work_command& command, reply_function reply)> propose;
-    state::work_state::record_reader read;
+    std::function<void(const schema::work_command& command, reply_callback reply)> propose;
+    state::work_state::record_reader read_record;
 };
 
 class work_leader {
 public:
-    using reply_function = work_leader_hooks::reply_function;
+    using reply_callback = work_leader_hooks::reply_callback;
 
     work_leader(const state::work_state& state, milliseconds holder_timeout,
                 work_leader_hooks hooks);
 
-    /// Leadership began or ended; what the leader remembers starts anew.
-    void lead(bool leads, instant now);
+    /// Records whether this member leads the group. A change drops queued requests, answers pending
+    /// cancellations as unavailable, and forgets what was known about holders.
+    void set_leading(bool leading, instant now);
     void set_weight(const team_id& team, double weight);
 
-    /// Leases items to a holder; that it asks shows that it lives.
-    void lease(const schema::lease_request& request, reply_function reply, instant now);
-    void cancel(const schema::work_command& command, const reply_function& reply, instant now);
-    /// Takes back what the holder doesn't know of.
-    /// \returns what it holds without a lease, and must stop.
+    /// Leases items to a holder; the request also counts as a sign that the holder is alive.
+    void lease(const schema::lease_request& request, reply_callback reply, instant now);
+    void cancel(const schema::work_command& command, const reply_callback& reply, instant now);
+    /// Compares the items that a holder reports with its leases, and takes back leases that it
+    /// doesn't know of.
+    /// \returns items that the holder has without a lease, and must stop.
     schema::stale_items reconcile(const schema::held_items& held, instant now);
-    /// An entry showed that this incarnation of it lives.
-    void holder_seen(const std::string& holder, instant now);
+    /// This incarnation of a gateway is alive.
+    void mark_holder_alive(const std::string& holder, instant now);
     /// A lease was applied; also called on members that don't lead.
-    void leased(const schema::keeper_reply& reply, instant now);
+    void on_lease_applied(const schema::keeper_reply& reply, instant now);
 
     void tick(instant now, wall_time wall);
 
 private:
-    struct waiting_cancel {
+    struct pending_cancel {
         job_id job;
-        reply_function reply;
-        instant until;
+        reply_callback reply;
+        instant deadline;
     };
 
     void serve_next_lease();
-    void propose_leases(const schema::lease_request& request, const reply_function& reply);
-    schema::stale_items stale_of(const schema::held_items& held) const;
-    std::vector<policy::job_candidate> candidates(const std::string& service) const;
-    void answer_cancels(instant now);
+    void propose_leases(const schema::lease_request& request, const reply_callback& reply);
+    schema::stale_items find_stale_items(const schema::held_items& held) const;
+    std::vector<policy::job_candidate> find_candidates(const std::string& service) const;
+    void answer_settled_cancels(instant now);
     void release_lost_holders(instant now);
 
     const state::work_state& state_;
@@ -75,14 +80,14 @@
     work_leader_hooks hooks_;
     policy::batch_schedule schedule_;
 
-    bool leads_ = false;
-    instant led_since_{};
+    bool leading_ = false;
+    instant role_changed_at_{}; ///< when this member last began or ceased to lead
     std::deque<std::function<void()>> lease_queue_;
-    bool leasing_ = false;
-    std::vector<waiting_cancel> cancels_;
-    std::map<std::string, instant> holders_seen_;
-    std::set<std::string> holders_released_;
-    std::map<state::item_key, instant> leased_at_;
+    bool lease_in_progress_ = false;
+    std::vector<pending_cancel> pending_cancels_;
+    std::map<std::string, instant> holders_last_seen_;
+    std::set<std::string> holders_being_released_;
+    std::map<state::item_key, instant> leased_at_; ///< when each lease was applied here
     instant next_expiry_{};
 };
 
--- a/lib/keeper/group_change_logger.cpp
+++ b/lib/keeper/group_change_logger.cpp
@@ -5,22 +5,22 @@
 namespace cassia::keeper {
 
 static std::string name_of(const consensus::raft_group& raft, disk_id disk) {
-    for (const consensus::member& one : raft.log().members()) {
-        if (one.disk == disk)
-            return one.node;
+    for (const consensus::member& member : raft.log().members()) {
+        if (member.disk == disk)
+            return member.node;
     }
     return "";
 }
 
-// Learners are marked with a plus: they get all and vote nothing.
+// Learners, which replicate the log but don't vote, are marked with a plus.
 static std::string members_text(const consensus::raft_group& raft) {
     std::string text;
-    for (const consensus::member& one : raft.log().members())
-        text += (text.empty() ? "" : ",") + one.node + (one.voter ? "" : "+");
+    for (const consensus::member& member : raft.log().members())
+        text += (text.empty() ? "" : ",") + member.node + (member.voter ? "" : "+");
     return text;
 }
 
-void group_watch::look(const consensus::raft_group& raft) {
+void group_change_logger::observe(const consensus::raft_group& raft) {
     if (raft.leader() != leader_) {
         leader_ = raft.leader();
         metrics_.count("leader_changes");
--- a/lib/keeper/group_replica.cpp
+++ b/lib/keeper/group_replica.cpp
@@ -10,209 +10,218 @@
 namespace cassia::keeper {
 
 namespace {
-// Entries kept in memory behind a snapshot, so that a member that was away shortly needs no
-// snapshot of its own.
-constexpr std::uint64_t entries_kept = 2000;
+// Entries kept in memory although a snapshot covers them, so that a member that was away for a
+// short time can catch up from the log and needs no snapshot.
+constexpr std::uint64_t retained_entries = 2000;
 } // namespace
 
-bool awaiting_sync::empty() const {
-    return messages.empty() && persisted.empty();
+bool pending_sync::empty() const {
+    return messages.empty() && appended.empty();
 }
 
-group_host::group_host(group_settings settings, state_machine machine, store& disk,
-                       disk_writer& log_writer, disk_writer& snapshot_writer,
-                       std::function<void()> on_actions)
-    : settings_(settings), machine_(std::move(machine)), disk_(disk), log_writer_(log_writer),
-      snapshot_writer_(snapshot_writer), on_actions_(std::move(on_actions)),
-      snapshots_(settings.snapshot_records, settings.snapshot_interval) {
+group_replica::group_replica(group_settings settings, state_machine machine, store& keeper_store,
+                             disk_writer& log_writer, disk_writer& snapshot_writer,
+                             std::function<void()> on_actions_pending)
+    : settings_(settings), state_machine_(std::move(machine)), store_(keeper_store),
+      log_writer_(log_writer), snapshot_writer_(snapshot_writer),
+      on_actions_pending_(std::move(on_actions_pending)),
+      snapshot_schedule_(settings.snapshot_records, settings.snapshot_interval) {
     raft_ = std::make_unique<consensus::raft_group>(
         settings_.group, settings_.self, settings_.raft, consensus::vote_state(),
         consensus::raft_log(consensus::log_base()), random_bits(), monotonic_now());
 }
 
-group_host::~group_host() = default;
+group_replica::~group_replica() = default;
 
-bool group_host::recover(const recovered_group& found, instant now) {
-    const schema::group_snapshot& snapshot = *found.snapshot;
-    if (!machine_.load(snapshot.state(), {}))
+bool group_replica::recover(const recovered_group& recovered, instant now) {
+    const schema::group_snapshot& snapshot = *recovered.snapshot;
+    if (!state_machine_.load(snapshot.state(), {}))
         return false;
     consensus::raft_log log({snapshot.index(), term_number(snapshot.term()),
                              consensus::members_from_proto(snapshot.members())});
-    for (const consensus::entry_pointer& entry : found.entries)
+    for (const consensus::entry_pointer& entry : recovered.entries)
         log.append(entry);
-    positions_ = found.positions;
-    first_position_ = snapshot.index() + 1;
+    positions_ = recovered.positions;
+    first_position_index_ = snapshot.index() + 1;
     snapshot_index_ = snapshot.index();
     replay_segment_ = snapshot.replay_segment();
     oldest_segment_ = snapshot.oldest_segment();
-    raft_ = std::make_unique<consensus::raft_group>(settings_.group, settings_.self, settings_.raft,
-                                                    found.vote, std::move(log), random_bits(), now);
-    founded_ = true;
+    raft_ =
+        std::make_unique<consensus::raft_group>(settings_.group, settings_.self, settings_.raft,
+                                                recovered.vote, std::move(log), random_bits(), now);
+    bootstrapped_ = true;
     return true;
 }
 
-void group_host::found(const consensus::member_list& founders, instant now) {
-    consensus::log_base base{1, term_number(1), founders};
+// All initial members start from the same log base, as if entry 1 of term 1 had named them and been
+// committed.
+void group_replica::bootstrap(const consensus::member_list& members, instant now) {
+    consensus::log_base base{1, term_number(1), members};
     raft_ = std::make_unique<consensus::raft_group>(
         settings_.group, settings_.self, settings_.raft,
         consensus::vote_state{term_number(1), disk_id()}, consensus::raft_log(std::move(base)),
         random_bits(), now);
-    first_position_ = 2;
+    first_position_index_ = 2;
     snapshot_index_ = 1;
-    replay_segment_ = disk_.log().current_segment();
+    replay_segment_ = store_.log().current_segment();
     oldest_segment_ = replay_segment_;
-    founded_ = true;
+    bootstrapped_ = true;
 }
 
-schema::group_snapshot group_host::make_snapshot() const {
+schema::group_snapshot group_replica::make_snapshot() const {
     schema::group_snapshot snapshot;
     const std::uint64_t index = raft_->applied_index();
     snapshot.set_group(static_cast<std::uint32_t>(settings_.group.value()));
     snapshot.set_index(index);
     snapshot.set_term(raft_->log().term_at(index).value());
     *snapshot.mutable_members() = consensus::members_to_proto(raft_->log().members_at(index));
-    snapshot.set_state(machine_.save());
+    snapshot.set_state(state_machine_.save());
     snapshot.mutable_hard()->set_term(raft_->vote().term.value());
     snapshot.mutable_hard()->set_voted_for(raft_->vote().voted_for.value());
-    const std::uint64_t next = index + 1 - first_position_;
-    const std::uint32_t replay =
-        next < positions_.size() ? positions_[next].segment : disk_.log().current_segment();
-    snapshot.set_replay_segment(replay);
-    const std::set<storage::position> places = machine_.positions();
-    snapshot.set_oldest_segment(places.empty() ? replay
-                                               : std::min(replay, places.begin()->segment));
+    const std::uint64_t next = index + 1 - first_position_index_;
+    const std::uint32_t replay_segment =
+        next < positions_.size() ? positions_[next].segment : store_.log().current_segment();
+    snapshot.set_replay_segment(replay_segment);
+    const std::set<storage::position> referenced = state_machine_.referenced_positions();
+    snapshot.set_oldest_segment(referenced.empty()
+                                    ? replay_segment
+                                    : std::min(replay_segment, referenced.begin()->segment));
     return snapshot;
 }
 
-void group_host::tick(instant now) {
+void group_replica::tick(instant now) {
     raft_->tick(now);
     if (!raft_->leads())
-        fail_pending();
+        fail_pending_proposals();
 }
 
-void group_host::receive(const schema::raft_message& message, instant now) {
+void group_replica::receive(const schema::raft_message& message, instant now) {
     raft_->receive(message, now);
     if (!raft_->leads())
-        fail_pending();
+        fail_pending_proposals();
 }
 
-void group_host::propose(std::string command, reply_function reply, instant now) {
+void group_replica::propose(std::string command, reply_callback reply, instant now) {
     const std::optional<std::uint64_t> index = raft_->propose(std::move(command), now);
     if (!index) {
-        schema::keeper_reply refused;
-        refused.set_result(schema::keeper_reply::not_leader);
-        reply(std::move(refused));
+        schema::keeper_reply refusal;
+        refusal.set_result(schema::keeper_reply::not_leader);
+        reply(std::move(refusal));
         return;
     }
-    pending_[*index] = {raft_->term(), std::move(reply)};
-    on_actions_();
+    pending_proposals_[*index] = {raft_->term(), std::move(reply)};
+    on_actions_pending_();
 }
 
-void group_host::change_members(const consensus::member_list& members, instant now) {
+void group_replica::change_members(const consensus::member_list& members, instant now) {
     if (raft_->propose_members(members, now))
-        on_actions_();
+        on_actions_pending_();
 }
 
-void group_host::hand_over(instant now) {
+void group_replica::transfer_leadership(instant now) {
     raft_->hand_over(now);
 }
 
-// What was proposed may still be committed by the next leader, so nobody is told it failed: the
-// asker resends to that leader, and every command is idempotent.
-void group_host::fail_pending() {
-    std::map<std::uint64_t, pending_reply> failed = std::move(pending_);
-    pending_.clear();
-    senders_.clear();
-    for (std::pair<const std::uint64_t, pending_reply>& one : failed) {
-        schema::keeper_reply refused;
-        refused.set_result(schema::keeper_reply::unavailable);
-        one.second.reply(std::move(refused));
+// The next leader may still commit what was proposed here, so the outcome is reported as unknown
+// rather than as a failure. The client resends to that leader; this is safe because every command
+// is idempotent.
+void group_replica::fail_pending_proposals() {
+    std::map<std::uint64_t, pending_proposal> failed = std::move(pending_proposals_);
+    pending_proposals_.clear();
+    snapshot_senders_.clear();
+    for (std::pair<const std::uint64_t, pending_proposal>& proposal : failed) {
+        schema::keeper_reply refusal;
+        refusal.set_result(schema::keeper_reply::unavailable);
+        proposal.second.reply(std::move(refusal));
     }
 }
 
-std::vector<schema::raft_message> group_host::perform(awaiting_sync& awaiting, instant now) {
+std::vector<schema::raft_message> group_replica::perform_actions(pending_sync& pending,
+                                                                 instant now) {
     consensus::raft_actions actions = raft_->take_actions();
     std::vector<schema::raft_message> out = std::move(actions.now);
-    write_actions(actions, awaiting);
+    append_to_log(actions, pending);
     for (const consensus::entry_pointer& entry : actions.committed)
-        apply(entry);
+        apply_entry(entry);
     for (const disk_id member : actions.need_snapshot)
-        start_transfer(member);
-    for (const schema::raft_message& part : actions.snapshots)
-        receive_part(part, now, out);
-    continue_transfers(now, out);
-    maybe_snapshot(now);
+        start_snapshot_transfer(member);
+    for (const schema::raft_message& snapshot : actions.snapshots)
+        receive_snapshot_part(snapshot, now, out);
+    continue_snapshot_transfers(now, out);
+    take_snapshot_if_due(now);
     return out;
 }
 
-void group_host::write_actions(consensus::raft_actions& actions, awaiting_sync& awaiting) {
+void group_replica::append_to_log(consensus::raft_actions& actions, pending_sync& pending) {
     schema::wal_record record;
     record.set_group(static_cast<std::uint32_t>(settings_.group.value()));
     if (actions.vote) {
         record.mutable_state()->set_term(actions.vote->term.value());
         record.mutable_state()->set_voted_for(actions.vote->voted_for.value());
-        disk_.log().append(record.SerializeAsString());
+        store_.log().append(record.SerializeAsString());
     }
     if (actions.cut_after) {
         record.set_cut_after(*actions.cut_after);
-        disk_.log().append(record.SerializeAsString());
-        const std::uint64_t kept = *actions.cut_after + 1 - first_position_;
+        store_.log().append(record.SerializeAsString());
+        const std::uint64_t kept = *actions.cut_after + 1 - first_position_index_;
         while (positions_.size() > kept)
             positions_.pop_back();
     }
     for (const consensus::entry_pointer& entry : actions.append) {
         *record.mutable_entry() = *entry;
-        positions_.push_back(disk_.log().append(record.SerializeAsString()));
+        positions_.push_back(store_.log().append(record.SerializeAsString()));
         bytes_since_snapshot_ += entry->payload().size();
     }
     if (!actions.append.empty()) {
         const consensus::entry_pointer& last = actions.append.back();
-        awaiting.persisted.push_back({settings_.group, last->index(), term_number(last->term())});
+        pending.appended.push_back({settings_.group, last->index(), term_number(last->term())});
     }
-    std::move(actions.synced.begin(), actions.synced.end(), std::back_inserter(awaiting.messages));
+    std::move(actions.synced.begin(), actions.synced.end(), std::back_inserter(pending.messages));
 }
 
-void group_host::persisted(std::uint64_t index, term_number term) {
+void group_replica::on_persisted(std::uint64_t index, term_number term) {
     raft_->persisted(index, term);
 }
 
-void group_host::apply(const consensus::entry_pointer& entry) {
+void group_replica::apply_entry(const consensus::entry_pointer& entry) {
     schema::keeper_reply reply;
     if (entry->kind() == schema::log_entry::command)
-        reply = machine_.apply(entry->payload(), positions_[entry->index() - first_position_]);
-    auto waiting = pending_.find(entry->index());
-    if (waiting == pending_.end())
+        reply = state_machine_.apply(entry->payload(),
+                                     positions_[entry->index() - first_position_index_]);
+    auto proposal = pending_proposals_.find(entry->index());
+    if (proposal == pending_proposals_.end())
         return;
-    // Another leader's entry may stand where this one proposed its own.
-    if (waiting->second.term != term_number(entry->term()))
+    // The entry at this index may come from another leader and have replaced the proposed one.
+    if (proposal->second.term != term_number(entry->term()))
         reply.set_result(schema::keeper_reply::unavailable);
-    reply_function answer = std::move(waiting->second.reply);
-    pending_.erase(waiting);
-    answer(std::move(reply));
+    reply_callback send_reply = std::move(proposal->second.reply);
+    pending_proposals_.erase(proposal);
+    send_reply(std::move(reply));
 }
 
-void group_host::maybe_snapshot(instant now) {
+void group_replica::take_snapshot_if_due(instant now) {
     const snapshot_backlog backlog{raft_->applied_index() - snapshot_index_, bytes_since_snapshot_,
-                                   disk_.log().current_segment() - replay_segment_};
-    if (snapshotting_ || installing_ || !founded_ || !snapshots_.is_due(backlog, now))
+                                   store_.log().current_segment() - replay_segment_};
+    if (snapshot_in_progress_ || install_in_progress_ || !bootstrapped_ ||
+        !snapshot_schedule_.is_due(backlog, now))
         return;
-    snapshots_.taken(now);
-    snapshotting_ = true;
+    snapshot_schedule_.on_snapshot_taken(now);
+    snapshot_in_progress_ = true;
     bytes_since_snapshot_ = 0;
     write_snapshot(std::make_shared<schema::group_snapshot>(make_snapshot()),
-                   [this] { snapshotting_ = false; });
+                   [this] { snapshot_in_progress_ = false; });
 }
 
-void group_host::write_snapshot(const std::shared_ptr<schema::group_snapshot>& snapshot,
-                                std::function<void()> done) {
-    snapshot_writer_.submit([this, snapshot] { return disk_.write_snapshot(*snapshot); },
+void group_replica::write_snapshot(const std::shared_ptr<schema::group_snapshot>& snapshot,
+                                   std::function<void()> done) {
+    snapshot_writer_.submit([this, snapshot] { return store_.write_snapshot(*snapshot); },
                             [this, snapshot, done = std::move(done)] {
-                                snapshot_written(*snapshot);
+                                on_snapshot_written(*snapshot);
                                 done();
                             });
 }
 
-void group_host::snapshot_written(const schema::group_snapshot& snapshot) {
+void group_replica::on_snapshot_written(const schema::group_snapshot& snapshot) {
     const std::uint64_t index = snapshot.index();
     if (index < snapshot_index_)
         return;
@@ -223,12 +232,12 @@
         .with("group", settings_.group.value())
         .with("index", index)
         .with("oldest_segment", oldest_segment_);
-    const std::uint64_t covered = index > entries_kept ? index - entries_kept : 0;
-    const std::uint64_t base = std::max(raft_->log().base_index(), covered);
+    const std::uint64_t compactable = index > retained_entries ? index - retained_entries : 0;
+    const std::uint64_t base = std::max(raft_->log().base_index(), compactable);
     raft_->compact(base);
-    while (first_position_ <= base && !positions_.empty()) {
+    while (first_position_index_ <= base && !positions_.empty()) {
         positions_.pop_front();
-        ++first_position_;
+        ++first_position_index_;
     }
 }
 
--- a/lib/keeper/group_snapshots.cpp
+++ b/lib/keeper/group_snapshots.cpp
@@ -1,4 +1,4 @@
-// Snapshots between members of a group.
+// Transfer of snapshots between the members of a group.
 
 #include "cassia/keeper/group_replica.h"
 
@@ -9,7 +9,7 @@
 
 namespace cassia::keeper {
 
-schema::raft_message group_host::make_message(int kind, disk_id to) const {
+schema::raft_message group_replica::make_message(int kind, disk_id to) const {
     schema::raft_message message;
     message.set_kind(static_cast<schema::raft_message::message_kind>(kind));
     message.set_group(static_cast<std::uint32_t>(settings_.group.value()));
@@ -19,61 +19,62 @@
     return message;
 }
 
-void group_host::start_transfer(disk_id member) {
+void group_replica::start_snapshot_transfer(disk_id member) {
     const std::uint64_t index = raft_->applied_index();
     consensus::log_base base{index, raft_->log().term_at(index), raft_->log().members_at(index)};
-    const std::set<storage::position> places = machine_.positions();
+    const std::set<storage::position> referenced = state_machine_.referenced_positions();
     log_info("snapshot_transfer_started")
         .with("group", settings_.group.value())
         .with("to", member.value())
         .with("index", index)
-        .with("records", places.size());
-    senders_.erase(member);
-    senders_.emplace(
-        member, snapshot_sender(std::move(base), machine_.save(), {places.begin(), places.end()}));
+        .with("records", referenced.size());
+    snapshot_senders_.erase(member);
+    snapshot_senders_.emplace(member, snapshot_sender(std::move(base), state_machine_.save(),
+                                                      {referenced.begin(), referenced.end()}));
 }
 
-void group_host::continue_transfers(instant now, std::vector<schema::raft_message>& out) {
+void group_replica::continue_snapshot_transfers(instant now,
+                                                std::vector<schema::raft_message>& out) {
     if (!raft_->leads()) {
-        senders_.clear();
+        snapshot_senders_.clear();
         return;
     }
-    std::vector<disk_id> broken;
-    for (std::pair<const disk_id, snapshot_sender>& one : senders_) {
-        storage::result<std::optional<schema::snapshot_part>> part = one.second.next_part(
-            now, [this](const storage::position& at) { return disk_.read_command(at); });
+    std::vector<disk_id> to_restart;
+    for (std::pair<const disk_id, snapshot_sender>& sender : snapshot_senders_) {
+        storage::result<std::optional<schema::snapshot_part>> part = sender.second.next_part(
+            now, [this](const storage::position& at) { return store_.read_command(at); });
         if (!part) {
             log_warning("snapshot_transfer_broken").with("cause", part.error().text);
-            broken.push_back(one.first);
+            to_restart.push_back(sender.first);
             continue;
         }
         if (!part.value())
             continue;
-        schema::raft_message message = make_message(schema::raft_message::snapshot, one.first);
+        schema::raft_message message = make_message(schema::raft_message::snapshot, sender.first);
         *message.mutable_part() = std::move(*part.value());
         out.push_back(std::move(message));
     }
-    for (const disk_id member : broken)
-        start_transfer(member);
+    for (const disk_id member : to_restart)
+        start_snapshot_transfer(member);
 }
 
-void group_host::receive_part(const schema::raft_message& message, instant now,
-                              std::vector<schema::raft_message>& out) {
+void group_replica::receive_snapshot_part(const schema::raft_message& message, instant now,
+                                          std::vector<schema::raft_message>& out) {
     const disk_id from(message.from());
     if (message.kind() == schema::raft_message::snapshot_reply) {
-        auto sender = senders_.find(from);
-        if (sender == senders_.end() || message.part().index() != sender->second.index())
+        auto sender = snapshot_senders_.find(from);
+        if (sender == snapshot_senders_.end() || message.part().index() != sender->second.index())
             return;
-        sender->second.taken(message.part().number());
+        sender->second.on_acknowledged(message.part().number());
         if (!sender->second.complete())
             return;
         const std::uint64_t index = sender->second.index();
-        senders_.erase(sender);
+        snapshot_senders_.erase(sender);
         log_info("snapshot_transfer_done")
             .with("group", settings_.group.value())
             .with("to", from.value());
         raft_->member_restored(from, index, now);
-        on_actions_();
+        on_actions_pending_();
         return;
     }
     const auto acknowledge = [this, from, &message, &out] {
@@ -82,59 +83,64 @@
         reply.mutable_part()->set_number(message.part().number());
         out.push_back(std::move(reply));
     };
-    if (installing_)
+    if (install_in_progress_)
         return;
-    // A member that already holds all of it, because the answer to the last part got lost.
-    const bool known =
+    // This member already holds the whole snapshot: the leader missed the acknowledgement of the
+    // last part and resends it.
+    const bool already_installed =
         message.part().index() <= raft_->applied_index() && !raft_->log().members().empty();
-    if (known) {
+    if (already_installed) {
         acknowledge();
         return;
     }
-    const snapshot_receiver::progress taken =
-        receiver_.take(message.part(), [this](const std::string& command) {
+    const snapshot_receiver::part_result result =
+        snapshot_receiver_.receive(message.part(), [this](const std::string& command) {
             schema::wal_record record;
             record.set_group(static_cast<std::uint32_t>(settings_.group.value()));
             record.set_body(command);
-            return disk_.log().append(record.SerializeAsString());
+            return store_.log().append(record.SerializeAsString());
         });
-    if (taken == snapshot_receiver::progress::taken)
+    if (result == snapshot_receiver::part_result::accepted)
         acknowledge();
-    if (taken == snapshot_receiver::progress::complete)
-        install(from, now);
+    if (result == snapshot_receiver::part_result::complete)
+        install_snapshot(from, now);
 }
 
-// Answered only once the snapshot is on this member's disk; until then it counts for nothing. The
-// bodies were appended to the log before, and the disk works in order.
-void group_host::install(disk_id leader, instant now) {
-    if (!machine_.load(receiver_.state(), receiver_.places())) {
+// The last part is acknowledged only once the snapshot is on this member's disk; the member doesn't
+// count as restored before. The bodies are older records of the log, which is written in order, so
+// they are on disk before the snapshot that refers to them.
+void group_replica::install_snapshot(disk_id leader, instant now) {
+    if (!state_machine_.load(snapshot_receiver_.state(), snapshot_receiver_.relocations())) {
         log_error("snapshot_refused").with("group", settings_.group.value());
         return;
     }
-    installing_ = true;
-    const consensus::log_base base = receiver_.base();
+    install_in_progress_ = true;
+    const consensus::log_base base = snapshot_receiver_.base();
     raft_->installed(base, now);
     positions_.clear();
-    first_position_ = base.index + 1;
-    founded_ = true;
+    first_position_index_ = base.index + 1;
+    bootstrapped_ = true;
     std::shared_ptr<schema::group_snapshot> snapshot =
         std::make_shared<schema::group_snapshot>(make_snapshot());
-    const std::uint32_t first_body = receiver_.places().empty()
-                                         ? snapshot->replay_segment()
-                                         : receiver_.places().begin()->second.segment;
-    snapshot->set_oldest_segment(std::min(snapshot->oldest_segment(), first_body));
-    // Everything appended so far must be written before the snapshot names it.
+    const std::uint32_t first_body_segment =
+        snapshot_receiver_.relocations().empty()
+            ? snapshot->replay_segment()
+            : snapshot_receiver_.relocations().begin()->second.segment;
+    snapshot->set_oldest_segment(std::min(snapshot->oldest_segment(), first_body_segment));
+    // The snapshot refers to records that may still be in the current batch, so that is written
+    // first.
     std::shared_ptr<storage::log_batch> batch =
-        std::make_shared<storage::log_batch>(disk_.log().take_batch());
+        std::make_shared<storage::log_batch>(store_.log().take_batch());
     log_writer_.submit(
         [this, batch] {
             return batch->bytes.empty() ? storage::result<void>(success())
-                                        : disk_.log().write(*batch);
+                                        : store_.log().write(*batch);
         },
         [this, snapshot, leader] {
-            // The leader resends the last part, which is answered once this is done.
+            // Not acknowledged from here: the leader resends the last part, which is acknowledged
+            // once the snapshot is written.
             write_snapshot(snapshot, [this, snapshot, leader] {
-                installing_ = false;
+                install_in_progress_ = false;
                 log_info("snapshot_installed")
                     .with("group", settings_.group.value())
                     .with("index", snapshot->index())
--- a/lib/keeper/membership_planner.cpp
+++ b/lib/keeper/membership_planner.cpp
@@ -5,39 +5,39 @@
 namespace cassia::keeper {
 
 namespace {
-constexpr milliseconds sighting_age(3000);
+constexpr milliseconds status_timeout(3000);
 } // namespace
 
-founding::founding(std::vector<std::string> founders) {
-    set_founders(std::move(founders));
+membership_planner::membership_planner(std::vector<std::string> nodes) {
+    set_initial_nodes(std::move(nodes));
 }
 
-void founding::set_founders(std::vector<std::string> founders) {
-    founders_ = std::move(founders);
-    std::sort(founders_.begin(), founders_.end());
+void membership_planner::set_initial_nodes(std::vector<std::string> nodes) {
+    initial_nodes_ = std::move(nodes);
+    std::sort(initial_nodes_.begin(), initial_nodes_.end());
 }
 
-void founding::saw(const keeper_sighting& sighting) {
-    seen_[sighting.node] = sighting;
+void membership_planner::update(const keeper_status& status) {
+    keepers_[status.node] = status;
 }
 
-peer_address founding::address_of(disk_id disk) const {
-    for (const std::pair<const std::string, keeper_sighting>& one : seen_) {
-        if (one.second.disk == disk)
-            return peer_address(one.second.address);
+peer_address membership_planner::address_of(disk_id disk) const {
+    for (const std::pair<const std::string, keeper_status>& keeper : keepers_) {
+        if (keeper.second.disk == disk)
+            return peer_address(keeper.second.address);
     }
     return peer_address();
 }
 
-bool founding::is_recent(const keeper_sighting& one, instant now) const {
-    return now - one.seen < sighting_age;
+bool membership_planner::is_recent(const keeper_status& status, instant now) const {
+    return now - status.last_seen < status_timeout;
 }
 
-std::optional<consensus::member_list> founding::first_members(instant now) const {
+std::optional<consensus::member_list> membership_planner::initial_members(instant now) const {
     consensus::member_list members;
-    for (const std::string& node : founders_) {
-        auto found = seen_.find(node);
-        if (found == seen_.end() || !found->second.empty || !is_recent(found->second, now))
+    for (const std::string& node : initial_nodes_) {
+        auto found = keepers_.find(node);
+        if (found == keepers_.end() || !found->second.empty || !is_recent(found->second, now))
             return std::nullopt;
         members.push_back({found->second.disk, node, found->second.address, true});
     }
@@ -46,76 +46,82 @@
 
 static bool has_node(const consensus::member_list& members, const std::string& node) {
     return std::any_of(members.begin(), members.end(),
-                       [&node](const consensus::member& one) { return one.node == node; });
+                       [&node](const consensus::member& member) { return member.node == node; });
 }
 
-// A disk that was wiped comes back under a new identity: it has lost its promises, so it may not
-// act as the old member. It joins as a learner, is promoted once it holds all that is committed,
-// and only then the old identity goes. Counting an empty disk towards a quorum would let an
-// acknowledged record be forgotten when a second VM is lost just after.
-std::optional<consensus::member_list> founding::next_change(const consensus::raft_group& group,
-                                                            instant now) const {
+// A disk that was wiped comes back under a new identity. It has lost its votes and acknowledged
+// entries, so it must not act as the old member: it joins as a learner, is promoted once it holds
+// everything committed, and only then is the old identity removed. If an empty disk counted towards
+// a quorum, losing a second VM right afterwards could lose an acknowledged record.
+std::optional<consensus::member_list>
+membership_planner::next_change(const consensus::raft_group& group, instant now) const {
     consensus::member_list members = group.log().members();
-    for (const std::pair<const std::string, keeper_sighting>& one : seen_) {
-        const keeper_sighting& sighting = one.second;
-        if (!may_join(members, sighting, group, now))
+    for (const std::pair<const std::string, keeper_status>& keeper : keepers_) {
+        const keeper_status& candidate = keeper.second;
+        if (!may_add(members, candidate, group, now))
             continue;
-        members.push_back({sighting.disk, sighting.node, sighting.address, false});
+        members.push_back({candidate.disk, candidate.node, candidate.address, false});
         return members;
     }
-    for (consensus::member& one : members) {
-        if (one.voter || !group.is_active(one.disk, now) || !group.caught_up(one.disk))
+    for (consensus::member& member : members) {
+        if (member.voter || !group.is_active(member.disk, now) || !group.caught_up(member.disk))
             continue;
-        one.voter = true;
+        member.voter = true;
         return members;
     }
-    for (auto one = members.begin(); one != members.end(); ++one) {
-        if (!may_leave(members, *one, group, now))
+    for (auto member = members.begin(); member != members.end(); ++member) {
+        if (!may_remove(members, *member, group, now))
             continue;
-        members.erase(one);
+        members.erase(member);
         return members;
     }
     return std::nullopt;
 }
 
-bool founding::may_join(const consensus::member_list& members, const keeper_sighting& one,
-                        const consensus::raft_group& group, instant now) const {
-    const bool known =
-        std::any_of(members.begin(), members.end(),
-                    [&one](const consensus::member& member) { return member.disk == one.disk; });
-    if (!is_recent(one, now) || known || is_retiring(one.disk))
+bool membership_planner::may_add(const consensus::member_list& members,
+                                 const keeper_status& candidate, const consensus::raft_group& group,
+                                 instant now) const {
+    const bool is_member =
+        std::any_of(members.begin(), members.end(), [&candidate](const consensus::member& member) {
+            return member.disk == candidate.disk;
+        });
+    if (!is_recent(candidate, now) || is_member || is_retiring(candidate.disk))
         return false;
-    const bool replaceable = std::any_of(
+    const bool has_replaceable_member = std::any_of(
         members.begin(), members.end(), [this, &group, now](const consensus::member& member) {
-            const bool idle =
+            const bool silent =
                 member.voter && member.disk != group.self() && !group.is_active(member.disk, now);
-            return idle || is_retiring(member.disk);
+            return silent || is_retiring(member.disk);
         });
-    // One at a time: each joining member costs the leader a copy of the state.
-    const bool joining =
+    // Learners are added one at a time, because each costs the leader a copy of the state.
+    const bool has_active_learner =
         std::any_of(members.begin(), members.end(), [&group, now](const consensus::member& member) {
             return !member.voter && group.is_active(member.disk, now);
         });
-    const bool grows = members.size() < target_;
-    return has_node(members, one.node) || ((replaceable || grows) && !joining);
+    const bool below_target = members.size() < target_size_;
+    return has_node(members, candidate.node) ||
+           ((has_replaceable_member || below_target) && !has_active_learner);
 }
 
-bool founding::may_leave(const consensus::member_list& members, const consensus::member& one,
-                         const consensus::raft_group& group, instant now) const {
-    if (one.disk == group.self())
+bool membership_planner::may_remove(const consensus::member_list& members,
+                                    const consensus::member& candidate,
+                                    const consensus::raft_group& group, instant now) const {
+    if (candidate.disk == group.self())
         return false;
-    const bool silent = !group.is_active(one.disk, now);
+    const bool silent = !group.is_active(candidate.disk, now);
+    // The same node has joined with another disk.
     const bool superseded = std::any_of(
-        members.begin(), members.end(), [&one, &group, now](const consensus::member& other) {
-            return other.node == one.node && other.disk != one.disk &&
-                   (other.voter || !one.voter) && group.is_active(other.disk, now);
+        members.begin(), members.end(), [&candidate, &group, now](const consensus::member& other) {
+            return other.node == candidate.node && other.disk != candidate.disk &&
+                   (other.voter || !candidate.voter) && group.is_active(other.disk, now);
         });
     const std::size_t voters = static_cast<std::size_t>(
         std::count_if(members.begin(), members.end(),
-                      [](const consensus::member& other) { return other.voter; }));
-    const std::size_t wanted = std::max(target_, founders_.size());
-    const bool spare_in_place = one.voter && voters > wanted;
-    return (silent && (superseded || spare_in_place)) || (is_retiring(one.disk) && spare_in_place);
+                      [](const consensus::member& member) { return member.voter; }));
+    const std::size_t target = std::max(target_size_, initial_nodes_.size());
+    const bool replacement_votes = candidate.voter && voters > target;
+    return (silent && (superseded || replacement_votes)) ||
+           (is_retiring(candidate.disk) && replacement_votes);
 }
 
 } // namespace cassia::keeper
--- a/lib/keeper/service_api.cpp
+++ b/lib/keeper/service_api.cpp
@@ -1,4 +1,4 @@
-// What a keeper offers to an interface that runs beside it.
+// The keeper's interface for an API server that runs on its task.
 
 #include "cassia/base/log.h"
 #include "cassia/keeper/endpoint_file.h"
@@ -14,27 +14,28 @@
 namespace {
 constexpr const char* endpoints_file = "endpoints";
 using state::control_group;
-// Entries say hello every 250 ms. A caller that is sent to one that is gone waits a second for a
-// connection, so three missing hellos are enough; a lost packet delays one by 200 ms.
-constexpr milliseconds entry_serves(900);
-// An endpoint gives up on an answer after a second and asks the next keeper.
-constexpr milliseconds word_patience(800);
-// A leader says several times a second who forms its groups.
-constexpr milliseconds view_alive(1000);
+// Gateways send a heartbeat every 250 ms. A caller that is directed to a dead gateway waits a
+// second for the connection, so a gateway is delisted after three missed heartbeats; a lost packet
+// delays one by 200 ms.
+constexpr milliseconds gateway_serving_timeout(900);
+// An endpoint waits a second for the answer and then asks the next keeper.
+constexpr milliseconds announcement_timeout(800);
+// A leader reports the members of its groups several times a second.
+constexpr milliseconds group_view_timeout(1000);
 } // namespace
 
-void service::put_routes(const schema::route_table& table, const control_done& done) {
-    const group_host& host = *hosts_.at(control_group);
-    if (!host.raft().leads()) {
-        done({host.raft().leader() == disk_id() ? control_outcome::unknown
-                                                : control_outcome::not_leader,
-              net::ip_of(leader_node(host)),
+void service::put_routes(const schema::route_table& table, const control_callback& done) {
+    const group_replica& replica = *replicas_.at(control_group);
+    if (!replica.raft().leads()) {
+        done({replica.raft().leader() == disk_id() ? control_outcome::unknown
+                                                   : control_outcome::not_leader,
+              net::ip_of(leader_node(replica)),
               {}});
         return;
     }
     schema::control_command command;
     *command.mutable_routes() = table;
-    hosts_.at(control_group)
+    replicas_.at(control_group)
         ->propose(
             command.SerializeAsString(),
             [done](const schema::keeper_reply& reply) {
@@ -44,18 +45,18 @@
             monotonic_now());
 }
 
-// Only the leader knows that nothing newer was acknowledged, and only while its lease holds: the
-// lease is measured by a clock that goes on while the VM is suspended, so a leader that wakes up
-// after it was replaced finds it expired.
-void service::read_routes(const control_done& done) {
-    const group_host& host = *hosts_.at(control_group);
-    if (host.raft().may_read(monotonic_now())) {
+// Only the leader knows that nothing newer was acknowledged, and only while its lease is valid. The
+// lease is measured with a clock that advances while the VM is suspended, so a leader that resumes
+// after it was replaced finds the lease expired.
+void service::read_routes(const control_callback& done) {
+    const group_replica& replica = *replicas_.at(control_group);
+    if (replica.raft().may_read(monotonic_now())) {
         done({control_outcome::done, "", control_.routes()});
         return;
     }
-    const bool other_leads = !host.raft().leads() && host.raft().leader() != disk_id();
+    const bool other_leads = !replica.raft().leads() && replica.raft().leader() != disk_id();
     done({other_leads ? control_outcome::not_leader : control_outcome::unknown,
-          net::ip_of(leader_node(host)),
+          net::ip_of(leader_node(replica)),
           {}});
 }
 
@@ -71,20 +72,21 @@
             .with("leaving", record.leaving() ? 1 : 0)
             .with("gone", record.gone() ? 1 : 0)
             .with("sequence", record.sequence());
-        send_beacons_soon();
+        schedule_beacon_push();
     }
-    const bool must_outlive_this = record.leaving() || record.gone();
-    if (!must_outlive_this) {
+    const bool needs_majority = record.leaving() || record.gone();
+    if (!needs_majority) {
         done(true);
         return;
     }
-    waiting_words_.push_back({directory_.revision(), now + word_patience, std::move(done)});
+    pending_announcements_.push_back(
+        {directory_.revision(), now + announcement_timeout, std::move(done)});
     push_news();
-    answer_waiting_words();
+    answer_pending_announcements();
 }
 
-// An endpoint that this keeper never heard of is noted as gone all the same: its earlier words may
-// be on their way from another keeper.
+// An endpoint unknown to this keeper is recorded as gone too: earlier announcements may still be in
+// transit from another keeper.
 void service::remove_endpoint(const endpoint_id& endpoint, std::uint64_t incarnation,
                               std::function<void(bool)> done) {
     schema::endpoint_record record;
@@ -109,7 +111,7 @@
     log_info("endpoints_restored").with("endpoints", count);
 }
 
-// Without the file endpoints are known only later, so a write that fails ends nothing.
+// The file only makes endpoints known sooner after a restart, so a failed write is not fatal.
 void service::save_endpoints() {
     if (saving_endpoints_ || directory_.changes() == saved_changes_)
         return;
@@ -127,58 +129,58 @@
         [this] { saving_endpoints_ = false; });
 }
 
-// The end of an endpoint's service that was acknowledged must reach every entry though the keeper
-// that took it dies just after: another member of the control group has to have it too.
-void service::answer_waiting_words() {
+// Once it is acknowledged that an endpoint leaves or is gone, every gateway must learn of it even
+// if this keeper dies right afterwards. So a majority of the control group must have it first.
+void service::answer_pending_announcements() {
     const instant now = monotonic_now();
     const std::size_t members =
-        hosts_control() ? hosts_.at(control_group)->raft().log().members().size() : 0;
-    std::vector<waiting_word> still;
+        hosts_control() ? replicas_.at(control_group)->raft().log().members().size() : 0;
+    std::vector<pending_announcement> still_pending;
     std::vector<std::pair<std::function<void(bool)>, bool>> answers;
-    for (waiting_word& one : waiting_words_) {
-        std::size_t holders = 1;
+    for (pending_announcement& announcement : pending_announcements_) {
+        std::size_t acknowledged = 1;
         for (const std::pair<const std::string, known_keeper>& keeper : keepers_) {
             const schema::keeper_hello& hello = keeper.second.hello;
             if (hello.control() && hello.directory_epoch() == directory_epoch_ &&
-                hello.directory_revision() >= one.revision)
-                ++holders;
+                hello.directory_revision() >= announcement.revision)
+                ++acknowledged;
         }
-        const bool safe = holders >= members / 2 + 1;
-        if (safe || now >= one.until)
-            answers.emplace_back(std::move(one.done), safe);
+        const bool majority_has_it = acknowledged >= members / 2 + 1;
+        if (majority_has_it || now >= announcement.deadline)
+            answers.emplace_back(std::move(announcement.done), majority_has_it);
         else
-            still.push_back(std::move(one));
+            still_pending.push_back(std::move(announcement));
     }
-    waiting_words_ = std::move(still);
+    pending_announcements_ = std::move(still_pending);
     for (const std::pair<std::function<void(bool)>, bool>& answer : answers)
         answer.first(answer.second);
 }
 
 const service::known_keeper* service::find_work_keeper(const std::string& name) const {
     const known_keeper* found = nullptr;
-    for (const std::pair<const std::string, known_keeper>& one : keepers_) {
-        const bool fits = one.second.hello.work() && one.second.hello.name() == name;
-        if (fits && (found == nullptr || one.second.seen > found->seen))
-            found = &one.second;
+    for (const std::pair<const std::string, known_keeper>& keeper : keepers_) {
+        const bool matches = keeper.second.hello.work() && keeper.second.hello.name() == name;
+        if (matches && (found == nullptr || keeper.second.last_seen > found->last_seen))
+            found = &keeper.second;
     }
     return found;
 }
 
 std::set<disk_id> service::retiring_disks() const {
     std::set<disk_id> disks;
-    for (const schema::retire_command& one : control_.retiring())
-        disks.insert(disk_id(one.disk()));
+    for (const schema::retire_command& command : control_.retiring())
+        disks.insert(disk_id(command.disk()));
     return disks;
 }
 
 void service::retire_keeper(const std::string& name,
                             const std::function<void(const retire_response&)>& done) {
-    const group_host& host = *hosts_.at(control_group);
+    const group_replica& replica = *replicas_.at(control_group);
     const instant now = monotonic_now();
-    if (!host.raft().may_read(now)) {
-        const bool other_leads = !host.raft().leads() && host.raft().leader() != disk_id();
+    if (!replica.raft().may_read(now)) {
+        const bool other_leads = !replica.raft().leads() && replica.raft().leader() != disk_id();
         done({other_leads ? retire_outcome::not_leader : retire_outcome::unknown,
-              net::ip_of(leader_node(host))});
+              net::ip_of(leader_node(replica))});
         return;
     }
     const known_keeper* keeper = find_work_keeper(name);
@@ -188,21 +190,22 @@
     }
     const disk_id disk(keeper->hello.disk());
     const std::set<disk_id> retiring = retiring_disks();
-    std::size_t left = 0;
-    for (const std::pair<const std::string, known_keeper>& one : keepers_) {
-        const disk_id other(one.second.hello.disk());
-        const bool stays = one.second.hello.work() && now - one.second.seen < keeper_alive &&
-                           other != disk && retiring.count(other) == 0;
-        left += stays ? 1 : 0;
+    std::size_t remaining = 0;
+    for (const std::pair<const std::string, known_keeper>& other_keeper : keepers_) {
+        const disk_id other_disk(other_keeper.second.hello.disk());
+        const bool stays = other_keeper.second.hello.work() &&
+                           now - other_keeper.second.last_seen < keeper_timeout &&
+                           other_disk != disk && retiring.count(other_disk) == 0;
+        remaining += stays ? 1 : 0;
     }
-    if (retiring.count(disk) == 0 && left < group_size()) {
+    if (retiring.count(disk) == 0 && remaining < group_size()) {
         done({retire_outcome::too_few_keepers, ""});
         return;
     }
     schema::control_command command;
     command.mutable_retire()->set_name(name);
     command.mutable_retire()->set_disk(disk.value());
-    hosts_.at(control_group)
+    replicas_.at(control_group)
         ->propose(
             command.SerializeAsString(),
             [done](const schema::keeper_reply& reply) {
@@ -212,25 +215,26 @@
             now);
 }
 
-// Said only on the word of a present leader of every group: the VM is taken away with its disk at
-// once, and a group that still counts on it would lose a member without notice.
+// True only if the current leaders of all groups have recently reported their members: the VM and
+// its disk are taken away at once, and a group that still has it as a member would lose that member
+// without warning.
 std::optional<bool> service::is_keeper_retired(const std::string& name) const {
     std::optional<disk_id> disk;
-    for (const schema::retire_command& one : control_.retiring()) {
-        if (one.name() == name)
-            disk = disk_id(one.disk());
+    for (const schema::retire_command& command : control_.retiring()) {
+        if (command.name() == name)
+            disk = disk_id(command.disk());
     }
     if (!disk)
         return std::nullopt;
     const instant now = monotonic_now();
     std::map<std::uint32_t, const schema::group_view*> views;
-    for (const std::pair<const std::string, known_keeper>& one : keepers_) {
-        if (now - one.second.seen >= view_alive)
+    for (const std::pair<const std::string, known_keeper>& keeper : keepers_) {
+        if (now - keeper.second.last_seen >= group_view_timeout)
             continue;
-        for (const schema::group_view& view : one.second.hello.leads()) {
-            const schema::group_view*& newest = views[view.group()];
-            if (newest == nullptr || view.term() > newest->term())
-                newest = &view;
+        for (const schema::group_view& view : keeper.second.hello.leads()) {
+            const schema::group_view*& latest = views[view.group()];
+            if (latest == nullptr || view.term() > latest->term())
+                latest = &view;
         }
     }
     if (views.size() < settings_.cluster().work_groups())
@@ -245,35 +249,34 @@
     *settings_.mutable_cluster()->mutable_seed() = changed.cluster().seed();
 }
 
-bool service::is_serving(const known_entry& entry, instant now) const {
-    return now - entry.seen < entry_serves && !entry.hello.draining();
+bool service::is_serving(const known_gateway& gateway, instant now) const {
+    return now - gateway.last_seen < gateway_serving_timeout && !gateway.hello.draining();
 }
 
 std::vector<schema::entry_hello> service::serving_gateways() const {
-    std::vector<schema::entry_hello> out;
+    std::vector<schema::entry_hello> serving;
     const instant now = monotonic_now();
-    for (const std::pair<const std::string, known_entry>& one : entries_) {
-        if (is_serving(one.second, now))
-            out.push_back(one.second.hello);
+    for (const std::pair<const std::string, known_gateway>& gateway : gateways_) {
+        if (is_serving(gateway.second, now))
+            serving.push_back(gateway.second.hello);
     }
-    return out;
+    return serving;
 }
 
-// An entry that is gone logs nothing itself: only this tells which one callers were sent to in
-// vain.
-void service::log_listed_entries() {
+// A dead gateway logs nothing itself. These events show while callers were directed to it in vain.
+void service::log_listed_gateways() {
     const instant now = monotonic_now();
-    for (std::pair<const std::string, known_entry>& one : entries_) {
-        const bool listed = is_serving(one.second, now);
-        if (listed == one.second.listed)
+    for (std::pair<const std::string, known_gateway>& gateway : gateways_) {
+        const bool listed = is_serving(gateway.second, now);
+        if (listed == gateway.second.listed)
             continue;
-        one.second.listed = listed;
+        gateway.second.listed = listed;
         log_info(listed ? "entry_heard" : "entry_silent")
-            .with("entry", one.first)
-            .with("incarnation", one.second.hello.incarnation())
-            .with("draining", one.second.hello.draining() ? 1 : 0)
+            .with("entry", gateway.first)
+            .with("incarnation", gateway.second.hello.incarnation())
+            .with("draining", gateway.second.hello.draining() ? 1 : 0)
             .with("age_ms",
-                  std::chrono::duration_cast<milliseconds>(now - one.second.seen).count());
+                  std::chrono::duration_cast<milliseconds>(now - gateway.second.last_seen).count());
     }
 }
 
--- a/lib/keeper/service_discovery.cpp
+++ b/lib/keeper/service_discovery.cpp
@@ -1,4 +1,5 @@
-// How keepers that are told only seeds find each other, and what they pass on.
+// Discovery of other keepers by seeds, the news that keepers send each other, and the bootstrap of
+// the work groups.
 
 #include "cassia/base/digest.h"
 #include "cassia/base/log.h"
@@ -13,80 +14,83 @@
 
 namespace {
 using state::control_group;
-// All VMs start within some hundred ms of each other; by then those of every zone have been heard.
-constexpr milliseconds founders_gather(700);
+// All VMs start within a few hundred ms of each other. After this delay the keepers of every zone
+// have been heard, and the initial members can be spread over the zones.
+constexpr milliseconds candidate_gathering_time(700);
 } // namespace
 
-std::vector<peer_address> service::keepers_to_greet() const {
-    std::set<peer_address> all;
+std::vector<peer_address> service::hello_targets() const {
+    std::set<peer_address> targets;
     for (const schema::peer_settings& keeper : settings_.cluster().keeper())
-        all.insert(peer_address(keeper.address()));
+        targets.insert(peer_address(keeper.address()));
     for (const std::string& seed : settings_.cluster().seed())
-        all.insert(net::peer_of_seed(seed, settings_.peer_address()));
-    // Seeds may be old: members of the control group may have moved since they were written.
+        targets.insert(net::peer_of_seed(seed, settings_.peer_address()));
+    // The seeds may be out of date: control group members may have been replaced since they were
+    // configured.
     if (uses_seeds()) {
         const instant now = monotonic_now();
-        for (const std::pair<const std::string, known_keeper>& one : keepers_) {
-            if (one.second.hello.control() && now - one.second.seen < keeper_alive)
-                all.insert(peer_address(one.second.hello.address()));
+        for (const std::pair<const std::string, known_keeper>& keeper : keepers_) {
+            if (keeper.second.hello.control() && now - keeper.second.last_seen < keeper_timeout)
+                targets.insert(peer_address(keeper.second.hello.address()));
         }
     }
     if (uses_seeds() && hosts_control()) {
-        for (const consensus::member& one : hosts_.at(control_group)->raft().log().members())
-            all.insert(peer_address(one.address));
+        for (const consensus::member& member : replicas_.at(control_group)->raft().log().members())
+            targets.insert(peer_address(member.address));
     }
-    all.erase(peer_address(settings_.peer_address()));
-    return {all.begin(), all.end()};
+    targets.erase(peer_address(settings_.peer_address()));
+    return {targets.begin(), targets.end()};
 }
 
-bool service::waits_as_spare() const {
-    return uses_seeds() && !hosts_control() && groups_founded_ &&
-           !hosts_.begin()->second->founded();
+bool service::is_idle_spare() const {
+    return uses_seeds() && !hosts_control() && work_groups_formed_ &&
+           !replicas_.begin()->second->is_bootstrapped();
 }
 
 schema::keeper_hello service::own_hello(const peer_address& to) const {
     schema::keeper_hello hello;
-    const bool founded = hosts_.begin()->second->founded();
+    const bool bootstrapped = replicas_.begin()->second->is_bootstrapped();
     hello.set_node(node_);
     hello.set_zone(settings_.zone());
     hello.set_name(settings_.name());
-    for (const std::pair<const group_id, std::unique_ptr<group_host>>& host : hosts_) {
-        if (host.first == control_group || !host.second->raft().leads())
+    for (const std::pair<const group_id, std::unique_ptr<group_replica>>& replica : replicas_) {
+        if (replica.first == control_group || !replica.second->raft().leads())
             continue;
         schema::group_view* view = hello.add_leads();
-        view->set_group(static_cast<std::uint32_t>(host.first.value()));
-        view->set_term(host.second->raft().term().value());
-        for (const consensus::member& member : host.second->raft().log().members())
+        view->set_group(static_cast<std::uint32_t>(replica.first.value()));
+        view->set_term(replica.second->raft().term().value());
+        for (const consensus::member& member : replica.second->raft().log().members())
             view->add_disks(member.disk.value());
     }
     hello.set_disk(recovered_.disk.value());
     hello.set_address(settings_.peer_address());
-    // An empty disk that isn't there for the first time may have held promises: it never founds.
-    hello.set_empty(!founded && settings_.first_start());
+    // If this isn't the cluster's first start, an empty disk may have lost votes and acknowledged
+    // entries, so it must not take part in a bootstrap.
+    hello.set_empty(!bootstrapped && settings_.first_start());
     hello.set_control(hosts_control());
     hello.set_work(hosts_work());
-    if (hosts_control() && founded)
-        *hello.mutable_founders() = consensus::members_to_proto(founders_);
-    auto heard = heard_revisions_.find(to.str());
-    if (heard != heard_revisions_.end()) {
-        hello.set_directory_epoch(heard->second.first);
-        hello.set_directory_revision(heard->second.second);
+    if (hosts_control() && bootstrapped)
+        *hello.mutable_founders() = consensus::members_to_proto(initial_members_);
+    auto received = received_revisions_.find(to.str());
+    if (received != received_revisions_.end()) {
+        hello.set_directory_epoch(received->second.first);
+        hello.set_directory_revision(received->second.second);
     }
     return hello;
 }
 
-void service::see_keeper(const schema::keeper_hello& hello, instant seen) {
+void service::record_keeper(const schema::keeper_hello& hello, instant seen) {
     known_keeper& known = keepers_[hello.node()];
-    if (seen < known.seen)
+    if (seen < known.last_seen)
         return;
     known.hello = hello;
-    known.seen = seen;
-    const keeper_sighting sighting{hello.node(), disk_id(hello.disk()), hello.address(),
-                                   hello.empty(), seen};
+    known.last_seen = seen;
+    const keeper_status status{hello.node(), disk_id(hello.disk()), hello.address(), hello.empty(),
+                               seen};
     if (hello.control() || !uses_seeds())
-        founding_.saw(sighting);
+        planner_.update(status);
     if (hello.work())
-        work_founding_.saw(sighting);
+        work_planner_.update(status);
 }
 
 void service::send_news(const peer_address& to, const known_keeper& keeper) {
@@ -95,22 +99,22 @@
     schema::keeper_news* news = envelope.mutable_news();
     *news->mutable_self() = own_hello(to);
     *news->mutable_work_founders() = control_.work_founders();
-    for (const schema::retire_command& one : control_.retiring())
-        news->add_retiring_disks(one.disk());
+    for (const schema::retire_command& command : control_.retiring())
+        news->add_retiring_disks(command.disk());
     const std::set<std::uint64_t> members = work_group_disks(now);
     const bool spare = is_spare(keeper.hello, members);
-    for (const std::pair<const std::string, known_keeper>& one : keepers_) {
-        const microseconds age = now - one.second.seen;
-        if (age >= keeper_alive || one.first == keeper.hello.node())
+    for (const std::pair<const std::string, known_keeper>& other : keepers_) {
+        const microseconds age = now - other.second.last_seen;
+        if (age >= keeper_timeout || other.first == keeper.hello.node())
             continue;
-        // The others of the spares, which may be many, are nothing to it.
-        if (spare && is_spare(one.second.hello, members))
+        // A spare needs no news of the other spares, which may be many.
+        if (spare && is_spare(other.second.hello, members))
             continue;
-        schema::keeper_hello* told = news->add_keepers();
-        *told = one.second.hello;
-        told->clear_founders();
-        told->set_age_ms(
-            told->age_ms() +
+        schema::keeper_hello* added = news->add_keepers();
+        *added = other.second.hello;
+        added->clear_founders();
+        added->set_age_ms(
+            added->age_ms() +
             static_cast<std::uint32_t>(std::chrono::duration_cast<milliseconds>(age).count()));
     }
     if (keeper.hello.control()) {
@@ -120,54 +124,55 @@
     hub_->send(to, envelope);
 }
 
-// Entries tell one keeper often and the others seldom: callers of each are told the same list.
+// A gateway sends most of its heartbeats to the keeper that it follows. That keeper passes on that
+// it is alive, so that all keepers give callers the same list of gateways.
 void service::write_sightings(schema::keeper_news& news) const {
     const instant now = monotonic_now();
-    for (const std::pair<const std::string, known_entry>& one : entries_) {
-        const microseconds age = now - one.second.own_seen;
-        if (!one.second.hello.follows() || age >= entry_alive)
+    for (const std::pair<const std::string, known_gateway>& gateway : gateways_) {
+        const microseconds age = now - gateway.second.last_heartbeat;
+        if (!gateway.second.hello.follows() || age >= gateway_timeout)
             continue;
-        schema::entry_sighting* told = news.add_entries();
-        told->set_entry(one.first);
-        told->set_incarnation(one.second.hello.incarnation());
-        told->set_draining(one.second.hello.draining());
-        told->set_age_ms(
+        schema::entry_sighting* sighting = news.add_entries();
+        sighting->set_entry(gateway.first);
+        sighting->set_incarnation(gateway.second.hello.incarnation());
+        sighting->set_draining(gateway.second.hello.draining());
+        sighting->set_age_ms(
             static_cast<std::uint32_t>(std::chrono::duration_cast<milliseconds>(age).count()));
     }
 }
 
-void service::learn_sightings(const schema::keeper_news& news, instant now) {
-    for (const schema::entry_sighting& one : news.entries()) {
-        auto found = entries_.find(one.entry());
-        const bool same =
-            found != entries_.end() && found->second.hello.incarnation() == one.incarnation();
-        const instant seen = now - milliseconds(one.age_ms());
-        if (!same || seen <= found->second.seen)
+void service::merge_sightings(const schema::keeper_news& news, instant now) {
+    for (const schema::entry_sighting& sighting : news.entries()) {
+        auto found = gateways_.find(sighting.entry());
+        const bool same_incarnation =
+            found != gateways_.end() && found->second.hello.incarnation() == sighting.incarnation();
+        const instant seen = now - milliseconds(sighting.age_ms());
+        if (!same_incarnation || seen <= found->second.last_seen)
             continue;
-        found->second.seen = seen;
-        found->second.hello.set_draining(one.draining());
+        found->second.last_seen = seen;
+        found->second.hello.set_draining(sighting.draining());
         roster_.saw(found->second.hello, seen);
     }
 }
 
 void service::on_news(const schema::keeper_news& news) {
     const instant now = monotonic_now();
-    see_keeper(news.self(), now);
-    for (const schema::keeper_hello& one : news.keepers()) {
-        if (one.node() != node_)
-            see_keeper(one, now - milliseconds(one.age_ms()));
+    record_keeper(news.self(), now);
+    for (const schema::keeper_hello& hello : news.keepers()) {
+        if (hello.node() != node_)
+            record_keeper(hello, now - milliseconds(hello.age_ms()));
     }
     if (hosts_work()) {
         std::set<disk_id> retiring;
         for (const std::uint64_t disk : news.retiring_disks())
             retiring.insert(disk_id(disk));
-        // Decisions are never taken back, so the longest list is the newest.
-        if (retiring.size() >= retiring_known_) {
-            retiring_known_ = retiring.size();
-            work_founding_.set_retiring(std::move(retiring));
+        // A retirement is never revoked, so the longest list is the latest.
+        if (retiring.size() >= known_retiring_) {
+            known_retiring_ = retiring.size();
+            work_planner_.set_retiring(std::move(retiring));
         }
         if (news.work_founders().members_size() > 0)
-            found_work_groups(news.work_founders());
+            bootstrap_work_groups(news.work_founders());
     }
     if (!hosts_control())
         return;
@@ -176,121 +181,124 @@
         changed = directory_.told(record, now) || changed;
     for (const schema::endpoint_pulse& pulse : news.pulses())
         directory_.told(pulse, now);
-    learn_sightings(news, now);
-    heard_revisions_[news.self().address()] = {news.directory_epoch(), news.directory_revision()};
+    merge_sightings(news, now);
+    received_revisions_[news.self().address()] = {news.directory_epoch(),
+                                                  news.directory_revision()};
     if (!changed)
         return;
-    // The other keeper may be holding back its answer to the endpoint until this one has its word.
+    // The other keeper may have to wait until this one has an endpoint's announcement before it
+    // acknowledges that.
     send_keeper_hello(peer_address(news.self().address()));
-    send_beacons_soon();
+    schedule_beacon_push();
 }
 
 void service::push_news() {
-    for (const std::pair<const std::string, known_keeper>& one : keepers_) {
-        if (monotonic_now() - one.second.seen < keeper_alive)
-            send_news(peer_address(one.second.hello.address()), one.second);
+    for (const std::pair<const std::string, known_keeper>& keeper : keepers_) {
+        if (monotonic_now() - keeper.second.last_seen < keeper_timeout)
+            send_news(peer_address(keeper.second.hello.address()), keeper.second);
     }
 }
 
-// Spread over availability zones first, so that the loss of one leaves a majority.
-static std::vector<schema::keeper_hello> spread_over_zones(std::vector<schema::keeper_hello> all,
-                                                           std::size_t wanted) {
+// Spreads the members over availability zones, so that a majority survives the loss of one.
+static std::vector<schema::keeper_hello>
+spread_over_zones(std::vector<schema::keeper_hello> candidates, std::size_t count) {
     std::vector<schema::keeper_hello> chosen;
-    std::map<std::string, int> taken;
-    while (chosen.size() < wanted && !all.empty()) {
+    std::map<std::string, int> chosen_per_zone;
+    while (chosen.size() < count && !candidates.empty()) {
         auto next = std::min_element(
-            all.begin(), all.end(),
-            [&taken](const schema::keeper_hello& a, const schema::keeper_hello& b) {
-                return std::make_pair(taken[a.zone()], a.node()) <
-                       std::make_pair(taken[b.zone()], b.node());
+            candidates.begin(), candidates.end(),
+            [&chosen_per_zone](const schema::keeper_hello& a, const schema::keeper_hello& b) {
+                return std::make_pair(chosen_per_zone[a.zone()], a.node()) <
+                       std::make_pair(chosen_per_zone[b.zone()], b.node());
             });
-        ++taken[next->zone()];
+        ++chosen_per_zone[next->zone()];
         chosen.push_back(*next);
-        all.erase(next);
+        candidates.erase(next);
     }
     return chosen;
 }
 
-void service::decide_work_founders() {
+void service::propose_work_group_members() {
     if (!uses_seeds() || control_.work_founders().members_size() > 0)
         return;
     const instant now = monotonic_now();
-    std::vector<schema::keeper_hello> empty;
-    for (const std::pair<const std::string, known_keeper>& one : keepers_) {
-        if (one.second.hello.work() && one.second.hello.empty() &&
-            now - one.second.seen < keeper_alive)
-            empty.push_back(one.second.hello);
+    std::vector<schema::keeper_hello> candidates;
+    for (const std::pair<const std::string, known_keeper>& keeper : keepers_) {
+        if (keeper.second.hello.work() && keeper.second.hello.empty() &&
+            now - keeper.second.last_seen < keeper_timeout)
+            candidates.push_back(keeper.second.hello);
     }
-    if (empty.size() < group_size()) {
-        work_founders_possible_ = instant();
+    if (candidates.size() < group_size()) {
+        enough_candidates_since_ = instant();
         return;
     }
-    if (work_founders_possible_ == instant())
-        work_founders_possible_ = now;
-    if (now - work_founders_possible_ < founders_gather)
+    if (enough_candidates_since_ == instant())
+        enough_candidates_since_ = now;
+    if (now - enough_candidates_since_ < candidate_gathering_time)
         return;
     consensus::member_list members;
-    for (const schema::keeper_hello& one : spread_over_zones(empty, group_size()))
-        members.push_back({disk_id(one.disk()), one.node(), one.address(), true});
+    for (const schema::keeper_hello& keeper : spread_over_zones(candidates, group_size()))
+        members.push_back({disk_id(keeper.disk()), keeper.node(), keeper.address(), true});
     schema::control_command command;
     *command.mutable_found_work()->mutable_founders() = consensus::members_to_proto(members);
-    hosts_.at(control_group)
+    replicas_.at(control_group)
         ->propose(
             command.SerializeAsString(), [](const schema::keeper_reply&) {}, now);
 }
 
-void service::found_work_groups(const schema::group_members& founders) {
-    groups_founded_ = true;
-    const consensus::member_list members = consensus::members_from_proto(founders);
-    std::vector<std::string> names;
-    for (const consensus::member& one : members)
-        names.push_back(one.node);
-    work_founding_.set_founders(std::move(names));
-    const bool one_of_them =
-        std::any_of(members.begin(), members.end(),
-                    [this](const consensus::member& one) { return one.disk == recovered_.disk; });
-    if (!one_of_them || hosts_.begin()->second->founded())
+void service::bootstrap_work_groups(const schema::group_members& proto) {
+    work_groups_formed_ = true;
+    const consensus::member_list members = consensus::members_from_proto(proto);
+    std::vector<std::string> nodes;
+    for (const consensus::member& member : members)
+        nodes.push_back(member.node);
+    work_planner_.set_initial_nodes(std::move(nodes));
+    const bool is_initial_member =
+        std::any_of(members.begin(), members.end(), [this](const consensus::member& member) {
+            return member.disk == recovered_.disk;
+        });
+    if (!is_initial_member || replicas_.begin()->second->is_bootstrapped())
         return;
-    founders_ = members;
-    for (const std::pair<const group_id, std::unique_ptr<group_host>>& host : hosts_)
-        host.second->found(founders_, monotonic_now());
-    write_first_snapshots();
-    log_info("work_groups_founded").with("members", founders_.size());
+    initial_members_ = members;
+    for (const std::pair<const group_id, std::unique_ptr<group_replica>>& replica : replicas_)
+        replica.second->bootstrap(initial_members_, monotonic_now());
+    write_initial_snapshots();
+    log_info("work_groups_founded").with("members", initial_members_.size());
 }
 
 bool service::is_spare(const schema::keeper_hello& hello, const std::set<std::uint64_t>& members) {
     return !hello.control() && !members.empty() && members.count(hello.disk()) == 0;
 }
 
-// From what the leaders of the groups said last. While none has spoken lately: those that founded
-// the groups, as some of them may still be members.
+// As last reported by the leaders of the groups. If none has reported recently, the initial
+// members, since some of them may still be members.
 std::set<std::uint64_t> service::work_group_disks(instant now) const {
     std::set<std::uint64_t> disks;
-    for (const std::pair<const std::string, known_keeper>& one : keepers_) {
-        if (now - one.second.seen >= keeper_alive)
+    for (const std::pair<const std::string, known_keeper>& keeper : keepers_) {
+        if (now - keeper.second.last_seen >= keeper_timeout)
             continue;
-        for (const schema::group_view& view : one.second.hello.leads())
+        for (const schema::group_view& view : keeper.second.hello.leads())
             disks.insert(view.disks().begin(), view.disks().end());
     }
     if (disks.empty()) {
-        for (const schema::group_member& one : control_.work_founders().members())
-            disks.insert(one.disk());
+        for (const schema::group_member& member : control_.work_founders().members())
+            disks.insert(member.disk());
     }
     return disks;
 }
 
-std::uint64_t service::keepers_digest() const {
-    std::string text;
+std::uint64_t service::compute_keepers_digest() const {
+    std::string members_text;
     const instant now = monotonic_now();
-    const std::set<std::uint64_t> members = work_group_disks(now);
-    for (const std::pair<const std::string, known_keeper>& one : keepers_) {
-        const schema::keeper_hello& hello = one.second.hello;
-        const bool in_group = members.count(hello.disk()) > 0;
-        if (now - one.second.seen < keeper_alive && (hello.control() || in_group))
-            text += hello.address() + (hello.control() ? "c" : "") + (hello.work() ? "w" : "") +
-                    (in_group ? "g" : "") + " ";
+    const std::set<std::uint64_t> disks = work_group_disks(now);
+    for (const std::pair<const std::string, known_keeper>& keeper : keepers_) {
+        const schema::keeper_hello& hello = keeper.second.hello;
+        const bool in_group = disks.count(hello.disk()) > 0;
+        if (now - keeper.second.last_seen < keeper_timeout && (hello.control() || in_group))
+            members_text += hello.address() + (hello.control() ? "c" : "") +
+                            (hello.work() ? "w" : "") + (in_group ? "g" : "") + " ";
     }
-    return stable_hash(text);
+    return stable_hash(members_text);
 }
 
 } // namespace cassia::keeper
--- a/lib/keeper/service_gateways.cpp
+++ b/lib/keeper/service_gateways.cpp
@@ -1,4 +1,4 @@
-// A keeper's conversations with entries.
+// Messages between a keeper and gateways.
 
 #include "cassia/base/log.h"
 #include "cassia/keeper/service.h"
@@ -13,101 +13,104 @@
 
 namespace {
 using state::control_group;
-constexpr milliseconds entry_forgotten_after(60000);
+constexpr milliseconds gateway_forget_timeout(60000);
 constexpr milliseconds incarnation_overlap(1000);
-// A tenth of what entries and keepers may be silent before their loss shows anyway.
-constexpr milliseconds list_age(100);
-constexpr milliseconds push_time_per_entry(1);
-// Answered before messages are read again.
-constexpr std::size_t heartbeats_at_once = 16;
+// Adds little to the 3 s of silence after which gateways and keepers are presumed dead.
+constexpr milliseconds list_refresh_interval(100);
+constexpr milliseconds push_time_per_gateway(1);
+// Heartbeats answered before further messages are read.
+constexpr std::size_t heartbeat_batch = 16;
 } // namespace
 
 static std::string holder_name(const schema::entry_hello& hello) {
     return hello.entry() + "/" + std::to_string(hello.incarnation());
 }
 
-// Members of groups must hear each other in time however many entries there are, so entries are
-// answered after what else has come.
-void service::take_heartbeat(const schema::entry_hello& hello) {
-    waiting_heartbeats_.add(hello);
+// Raft messages must be handled in time however many gateways there are, so a heartbeat is answered
+// only after the messages that have already arrived.
+void service::queue_heartbeat(const schema::entry_hello& hello) {
+    heartbeat_queue_.add(hello);
     if (std::exchange(heartbeats_scheduled_, true))
         return;
-    task_.post([this] { answer_heartbeats(); });
+    task_.post([this] { answer_queued_heartbeats(); });
 }
 
-void service::answer_heartbeats() {
-    for (std::size_t i = 0; i < heartbeats_at_once; ++i) {
-        if (const std::optional<schema::entry_hello> hello = waiting_heartbeats_.next())
-            on_entry_hello(*hello);
+void service::answer_queued_heartbeats() {
+    for (std::size_t i = 0; i < heartbeat_batch; ++i) {
+        if (const std::optional<schema::entry_hello> hello = heartbeat_queue_.next())
+            on_gateway_hello(*hello);
     }
-    heartbeats_scheduled_ = !waiting_heartbeats_.empty();
+    heartbeats_scheduled_ = !heartbeat_queue_.empty();
     if (heartbeats_scheduled_)
-        task_.post([this] { answer_heartbeats(); });
+        task_.post([this] { answer_queued_heartbeats(); });
 }
 
-void service::on_entry_hello(const schema::entry_hello& hello) {
+void service::on_gateway_hello(const schema::entry_hello& hello) {
     const instant now = monotonic_now();
-    known_entry& entry = entries_[hello.entry()];
-    // A restarted VM may count its incarnations anew; while the other one was heard just now, the
-    // lower one is a late message of a process that is gone.
-    if (hello.incarnation() < entry.hello.incarnation() && now - entry.seen < incarnation_overlap)
+    known_gateway& gateway = gateways_[hello.entry()];
+    // A lower incarnation is usually a delayed message of an earlier process. But a VM that was
+    // restarted may start counting again, so it is accepted once the higher one has been silent.
+    if (hello.incarnation() < gateway.hello.incarnation() &&
+        now - gateway.last_seen < incarnation_overlap)
         return;
-    if (hello.incarnation() != entry.hello.incarnation())
-        entry.table.restarted();
-    entry.hello = hello;
-    entry.seen = now;
-    entry.own_seen = now;
+    if (hello.incarnation() != gateway.hello.incarnation())
+        gateway.route_table.reset();
+    gateway.hello = hello;
+    gateway.last_seen = now;
+    gateway.last_heartbeat = now;
     if (hosts_control() && uses_seeds())
         roster_.saw(hello, now);
     const std::string holder = holder_name(hello);
     for (std::pair<const group_id, work_group>& group : work_) {
-        if (hosts_.at(group.first)->raft().leads())
-            group.second.leader->holder_seen(holder, now);
+        if (replicas_.at(group.first)->raft().leads())
+            group.second.leader->mark_holder_alive(holder, now);
     }
-    send_beacon(entry);
-    for (auto one = entries_.begin(); one != entries_.end();)
-        one = now - one->second.seen > entry_forgotten_after ? entries_.erase(one) : std::next(one);
+    send_beacon(gateway);
+    for (auto it = gateways_.begin(); it != gateways_.end();)
+        it = now - it->second.last_seen > gateway_forget_timeout ? gateways_.erase(it)
+                                                                 : std::next(it);
 }
 
-void service::write_control_news(const known_entry& entry, schema::keeper_beacon& beacon) const {
+void service::write_control_state(const known_gateway& gateway,
+                                  schema::keeper_beacon& beacon) const {
     const instant now = monotonic_now();
-    const consensus::raft_group& control = hosts_.at(control_group)->raft();
+    const consensus::raft_group& control = replicas_.at(control_group)->raft();
     beacon.set_beacon_term(control.term().value());
-    // The beacon says that a quorum stood behind this leader just now. Without the lease a leader
-    // that is cut off would go on vouching for lists that others have replaced.
+    // The beacon states that this leader had a quorum just now. Without checking its lease, a
+    // leader that is cut off would go on confirming lists that its successor has replaced.
     beacon.set_in_touch(control.leads() ? control.may_read(now) : control.leader() != disk_id());
     if (control.may_read(now)) {
         beacon.set_leads_control(true);
         beacon.set_beacon(beacon_);
         beacon.set_config_version(control_.version());
-        if (entry.hello.config_version() < control_.version())
+        if (gateway.hello.config_version() < control_.version())
             *beacon.mutable_config() = *control_.current();
     }
-    // Tables need no lease: one that a member has applied is committed, and entries never go back
-    // to a lower version.
-    const std::uint64_t newest = control_.routes().version();
-    if (uses_seeds() && entry.table.is_due(newest, entry.hello.routes_version(), now)) {
+    // Route tables need no lease: a table that a member has applied is committed, and gateways
+    // never go back to a lower version.
+    const std::uint64_t latest = control_.routes().version();
+    if (uses_seeds() && gateway.route_table.is_due(latest, gateway.hello.routes_version(), now)) {
         *beacon.mutable_routes() = control_.routes();
-        // Read back from keepers only.
+        // Gateways don't need the original document; only keepers return it.
         beacon.mutable_routes()->clear_document();
     }
-    write_endpoints(entry.hello, beacon, entry.hello.follows());
-    write_keepers(entry, beacon);
+    write_endpoints(gateway.hello, beacon, gateway.hello.follows());
+    write_keepers(gateway, beacon);
 }
 
-// Entries of a fleet found by seeds talk to work keepers that form the groups only: of the others,
-// which may be many, they need to know nothing.
-void service::write_keepers(const known_entry& entry, schema::keeper_beacon& beacon) const {
+// With seeds, gateways talk only to work keepers that are members of a work group. The others,
+// which may be many, are left out.
+void service::write_keepers(const known_gateway& gateway, schema::keeper_beacon& beacon) const {
     const instant now = monotonic_now();
     beacon.set_keepers_digest(keepers_digest_);
-    if (uses_seeds() && entry.hello.keepers_digest() == keepers_digest_)
+    if (uses_seeds() && gateway.hello.keepers_digest() == keepers_digest_)
         return;
     const std::set<std::uint64_t> members = work_group_disks(now);
-    for (const std::pair<const std::string, known_keeper>& one : keepers_) {
-        const schema::keeper_hello& hello = one.second.hello;
+    for (const std::pair<const std::string, known_keeper>& keeper : keepers_) {
+        const schema::keeper_hello& hello = keeper.second.hello;
         const bool in_group = hello.work() && members.count(hello.disk()) > 0;
-        const bool told = !uses_seeds() || hello.control() || in_group;
-        if (!told || now - one.second.seen >= keeper_alive)
+        const bool listed = !uses_seeds() || hello.control() || in_group;
+        if (!listed || now - keeper.second.last_seen >= keeper_timeout)
             continue;
         schema::keeper_hello* added = beacon.add_keepers();
         *added = hello;
@@ -115,66 +118,69 @@
     }
 }
 
-void service::write_entries(const known_entry& entry, schema::keeper_beacon& beacon) const {
+void service::write_gateways(const known_gateway& gateway, schema::keeper_beacon& beacon) const {
     const instant now = monotonic_now();
     if (uses_seeds()) {
-        if (entry.hello.follows())
-            roster_.write(entry.hello.entries_epoch(), entry.hello.entries_revision(), beacon, now);
+        if (gateway.hello.follows())
+            roster_.write(gateway.hello.entries_epoch(), gateway.hello.entries_revision(), beacon,
+                          now);
         return;
     }
-    for (const std::pair<const std::string, known_entry>& one : entries_) {
-        const microseconds age = now - one.second.seen;
-        if (age >= entry_alive)
+    for (const std::pair<const std::string, known_gateway>& other : gateways_) {
+        const microseconds age = now - other.second.last_seen;
+        if (age >= gateway_timeout)
             continue;
-        // Passed on as new, the word of a dead entry would keep it on the callers' list for twice
-        // as long.
-        schema::entry_hello* told = beacon.add_entries();
-        *told = one.second.hello;
-        told->set_age_ms(
+        // Without its age, the last heartbeat of a dead gateway would count as new and keep the
+        // gateway on the callers' list for twice as long.
+        schema::entry_hello* added = beacon.add_entries();
+        *added = other.second.hello;
+        added->set_age_ms(
             static_cast<std::uint32_t>(std::chrono::duration_cast<milliseconds>(age).count()));
     }
 }
 
 void service::refresh_lists(instant now) {
-    if (now - lists_made_at_ < list_age)
+    if (now - lists_refreshed_at_ < list_refresh_interval)
         return;
-    lists_made_at_ = now;
+    lists_refreshed_at_ = now;
     roster_.refresh(now);
-    keepers_digest_ = keepers_digest();
+    keepers_digest_ = compute_keepers_digest();
 }
 
-void service::send_beacon(known_entry& entry) {
+void service::send_beacon(known_gateway& gateway) {
     const instant now = monotonic_now();
     schema::envelope envelope;
     schema::keeper_beacon* beacon = envelope.mutable_beacon();
     beacon->set_keeper(node_);
-    beacon->set_sent_at_us(entry.hello.sent_at_us());
+    beacon->set_sent_at_us(gateway.hello.sent_at_us());
     beacon->set_keeper_clock_us(to_us(now));
     if (hosts_control()) {
         refresh_lists(now);
-        write_control_news(entry, *beacon);
-        write_entries(entry, *beacon);
+        write_control_state(gateway, *beacon);
+        write_gateways(gateway, *beacon);
         if (beacon->has_routes())
-            entry.table.sent(beacon->routes().version(), now);
+            gateway.route_table.on_sent(beacon->routes().version(), now);
     }
-    const std::string holder = holder_name(entry.hello);
+    const std::string holder = holder_name(gateway.hello);
     for (const std::pair<const group_id, work_group>& group : work_) {
-        if (!hosts_.at(group.first)->raft().may_read(now))
+        if (!replicas_.at(group.first)->raft().may_read(now))
             continue;
         beacon->add_leads(static_cast<std::uint32_t>(group.first.value()));
         for (const state::item_key& key : group.second.state.leases_of(holder)) {
             auto job = group.second.state.jobs().find(key.first);
-            const bool stopping = job != group.second.state.jobs().end() &&
-                                  job->second.status == state::job_status::cancelling;
-            const int listed = beacon->cancelled_jobs_size();
-            const bool known = listed > 0 && beacon->cancelled_jobs(listed - 1) == key.first.str();
-            if (stopping && !known)
+            const bool is_cancelling = job != group.second.state.jobs().end() &&
+                                       job->second.status == state::job_status::cancelling;
+            const int count = beacon->cancelled_jobs_size();
+            const bool already_added =
+                count > 0 && beacon->cancelled_jobs(count - 1) == key.first.str();
+            if (is_cancelling && !already_added)
                 beacon->add_cancelled_jobs(key.first.str());
         }
     }
-    const bool seldom = hosts_control() && !entry.hello.follows();
-    const net::peer_watch watch = seldom ? net::peer_watch::relaxed : net::peer_watch::steady;
-    hub_->send(peer_address(entry.hello.peer_address()), envelope,
+    const bool is_occasional_peer = hosts_control() && !gateway.hello.follows();
+    const net::peer_watch watch =
+        is_occasional_peer ? net::peer_watch::relaxed : net::peer_watch::steady;
+    hub_->send(peer_address(gateway.hello.peer_address()), envelope,
                uses_seeds() ? watch : net::peer_watch::close);
 }
 
@@ -191,33 +197,35 @@
         }
     }
     log_info("config_applied").with("version", current->version());
-    send_beacons_soon();
+    schedule_beacon_push();
 }
 
-// Changes and cancellations are pushed at once; the entries' hellos, which name their version, make
-// up for what gets lost. In a fleet found by seeds each entry follows one keeper of the control
-// group, and those of the work groups tell whoever runs items of a job that was cancelled.
-void service::send_beacons_soon() {
-    if (std::exchange(beacons_scheduled_, true))
+// Changes and cancellations are pushed at once; if a push is lost, the next heartbeat, which names
+// the gateway's version, makes up for it. With seeds, each gateway follows one keeper of the
+// control group, which pushes changes, and the keepers of the work groups push cancellations to the
+// gateways that hold leases.
+void service::schedule_beacon_push() {
+    if (std::exchange(beacon_push_scheduled_, true))
         return;
-    const microseconds wait = pushed_at_ + push_pause_ - monotonic_now();
-    const milliseconds rounded = std::chrono::ceil<milliseconds>(std::max(wait, microseconds(0)));
-    task_.after(rounded, [this] { push_beacons(); });
+    const microseconds delay = last_push_ + min_push_interval_ - monotonic_now();
+    const milliseconds rounded_up =
+        std::chrono::ceil<milliseconds>(std::max(delay, microseconds(0)));
+    task_.after(rounded_up, [this] { push_beacons(); });
 }
 
-// After a push the next one waits by the number of those told, so that changes that come one after
-// the other, as when all endpoints start, are told together.
+// The delay until the next push grows with the number of receivers, so that a burst of changes, as
+// when all endpoints start, is sent in few pushes.
 void service::push_beacons() {
-    beacons_scheduled_ = false;
-    pushed_at_ = monotonic_now();
-    push_pause_ = milliseconds(0);
-    for (std::pair<const std::string, known_entry>& entry : entries_) {
-        const bool follows = hosts_control() && entry.second.hello.follows();
-        const bool told = !uses_seeds() || follows || holds_items(entry.second.hello);
-        if (!told)
+    beacon_push_scheduled_ = false;
+    last_push_ = monotonic_now();
+    min_push_interval_ = milliseconds(0);
+    for (std::pair<const std::string, known_gateway>& gateway : gateways_) {
+        const bool follows = hosts_control() && gateway.second.hello.follows();
+        const bool is_receiver = !uses_seeds() || follows || holds_items(gateway.second.hello);
+        if (!is_receiver)
             continue;
-        send_beacon(entry.second);
-        push_pause_ += push_time_per_entry;
+        send_beacon(gateway.second);
+        min_push_interval_ += push_time_per_gateway;
     }
 }
 
--- a/lib/keeper/service_http.cpp
+++ b/lib/keeper/service_http.cpp
@@ -1,4 +1,4 @@
-// What a keeper shows of itself: the state dump and metrics.
+// The HTTP interface: state dump and metrics.
 
 #include "cassia/base/log.h"
 #include "cassia/keeper/service.h"
@@ -10,9 +10,9 @@
 namespace cassia::keeper {
 
 namespace {
-constexpr std::size_t most_header_bytes = 32768;
-constexpr std::size_t most_body_bytes = 4096;
-constexpr int status_missing = 404;
+constexpr std::size_t max_header_bytes = 32768;
+constexpr std::size_t max_body_bytes = 4096;
+constexpr int status_not_found = 404;
 } // namespace
 
 std::string service::open_http() {
@@ -24,20 +24,20 @@
         else if (request.path == "/debug/dump")
             response.body = dump();
         else
-            response = {status_missing, "application/json", {}, "{}"};
+            response = {status_not_found, "application/json", {}, "{}"};
         http_->respond(id, response);
     };
     hooks.on_gone = [](exchange_id) {};
     hooks.on_refused = [](int status) { return net::http_response{status, "text/plain", {}, ""}; };
-    const auto any_body = [](const std::string&, const std::string&) { return most_body_bytes; };
-    http_ = std::make_unique<net::http_server>(task_, net::http_limits{most_header_bytes, any_body},
-                                               std::move(hooks));
+    const auto body_limit = [](const std::string&, const std::string&) { return max_body_bytes; };
+    http_ = std::make_unique<net::http_server>(
+        task_, net::http_limits{max_header_bytes, body_limit}, std::move(hooks));
     for (const std::string& address : {settings_.http_address(), settings_.metrics_address()}) {
         if (address.empty())
             continue;
-        const net::result<void> served = http_->listen(http_address(address));
-        if (!served)
-            return served.error().text;
+        const net::result<void> listening = http_->listen(http_address(address));
+        if (!listening)
+            return listening.error().text;
     }
     return "";
 }
@@ -45,19 +45,19 @@
 std::string service::metrics_text() {
     const instant now = monotonic_now();
     std::size_t listed = 0;
-    for (const std::pair<const std::string, known_entry>& entry : entries_)
-        listed += entry.second.listed ? 1 : 0;
+    for (const std::pair<const std::string, known_gateway>& gateway : gateways_)
+        listed += gateway.second.listed ? 1 : 0;
     metrics_.set("entries_listed", listed);
     metrics_.set("endpoints_serving", directory_.serving(now).size());
     metrics_.set("routes_version", control_.routes().version());
     metrics_.set("log_lines_dropped", dropped_log_lines());
     std::size_t jobs = 0;
-    std::size_t leading = 0;
-    for (const std::pair<const group_id, std::unique_ptr<group_host>>& host : hosts_)
-        leading += host.second->raft().leads() ? 1 : 0;
+    std::size_t groups_led = 0;
+    for (const std::pair<const group_id, std::unique_ptr<group_replica>>& replica : replicas_)
+        groups_led += replica.second->raft().leads() ? 1 : 0;
     for (const std::pair<const group_id, work_group>& group : work_)
         jobs += group.second.state.jobs().size();
-    metrics_.set("groups_led", leading);
+    metrics_.set("groups_led", groups_led);
     metrics_.set("jobs_held", jobs);
     hub_->count_sent(metrics_);
     return metrics_.to_text("cassia_keeper_");
@@ -73,13 +73,13 @@
     out["beacon"] = beacon_;
     out["log_bytes"] = store_.log().bytes_on_disk();
     boost::json::array groups;
-    for (const std::pair<const group_id, std::unique_ptr<group_host>>& host : hosts_) {
-        const consensus::raft_group& raft = host.second->raft();
+    for (const std::pair<const group_id, std::unique_ptr<group_replica>>& replica : replicas_) {
+        const consensus::raft_group& raft = replica.second->raft();
         boost::json::object group;
-        group["group"] = host.first.value();
+        group["group"] = replica.first.value();
         group["leads"] = raft.leads();
         group["may_read"] = raft.may_read(now);
-        group["leader"] = leader_node(*host.second);
+        group["leader"] = leader_node(*replica.second);
         group["term"] = raft.term().value();
         group["commit"] = raft.commit_index();
         group["applied"] = raft.applied_index();
@@ -92,7 +92,7 @@
                  {"voter", member.voter},
                  {"active", member.disk == raft.self() || raft.is_active(member.disk, now)}});
         group["members"] = std::move(members);
-        auto work = work_.find(host.first);
+        auto work = work_.find(replica.first);
         if (work != work_.end()) {
             group["jobs"] = work->second.state.jobs().size();
             group["keys"] = work->second.state.key_count();
@@ -104,13 +104,13 @@
         groups.push_back(std::move(group));
     }
     out["groups"] = std::move(groups);
-    boost::json::array entries;
-    for (const std::pair<const std::string, known_entry>& entry : entries_)
-        entries.push_back({{"entry", entry.first},
-                           {"incarnation", entry.second.hello.incarnation()},
-                           {"config_version", entry.second.hello.config_version()},
-                           {"silent_ms", (now - entry.second.seen).count() / 1000}});
-    out["entries"] = std::move(entries);
+    boost::json::array gateways;
+    for (const std::pair<const std::string, known_gateway>& gateway : gateways_)
+        gateways.push_back({{"entry", gateway.first},
+                            {"incarnation", gateway.second.hello.incarnation()},
+                            {"config_version", gateway.second.hello.config_version()},
+                            {"silent_ms", (now - gateway.second.last_seen).count() / 1000}});
+    out["entries"] = std::move(gateways);
     return boost::json::serialize(out);
 }
 
--- a/lib/keeper/service_requests.cpp
+++ b/lib/keeper/service_requests.cpp
@@ -1,4 +1,4 @@
-// A keeper's answers to requests, and its conversations with other keepers.
+// Dispatch of messages, requests from gateways, and hellos of other keepers.
 
 #include "cassia/keeper/service.h"
 
@@ -15,18 +15,18 @@
     const instant now = monotonic_now();
     switch (message.body_case()) {
     case schema::envelope::kRaft:
-        for (const schema::raft_message& one : message.raft().messages()) {
-            auto host = hosts_.find(group_id(one.group()));
-            if (host != hosts_.end())
-                host->second->receive(one, now);
+        for (const schema::raft_message& raft_message : message.raft().messages()) {
+            auto replica = replicas_.find(group_id(raft_message.group()));
+            if (replica != replicas_.end())
+                replica->second->receive(raft_message, now);
         }
-        schedule_pump();
+        schedule_processing();
         break;
     case schema::envelope::kRequest:
         on_request(message.request(), message.reply_to());
         break;
     case schema::envelope::kHello:
-        take_heartbeat(message.hello());
+        queue_heartbeat(message.hello());
         break;
     case schema::envelope::kKeeper:
         on_keeper_hello(message.keeper());
@@ -39,9 +39,9 @@
     }
 }
 
-std::string service::leader_node(const group_host& host) const {
-    for (const consensus::member& member : host.raft().log().members()) {
-        if (member.disk == host.raft().leader())
+std::string service::leader_node(const group_replica& replica) const {
+    for (const consensus::member& member : replica.raft().log().members()) {
+        if (member.disk == replica.raft().leader())
             return member.node;
     }
     return "";
@@ -49,41 +49,41 @@
 
 void service::on_request(const schema::keeper_request& request, const std::string& reply_to) {
     const group_id group(request.group());
-    auto host = hosts_.find(group);
-    if (host == hosts_.end())
+    auto replica = replicas_.find(group);
+    if (replica == replicas_.end())
         return;
     const std::uint64_t id = request.id();
-    const group_host::reply_function reply = [this, id, group,
-                                              reply_to](schema::keeper_reply answer) {
+    const group_replica::reply_callback reply = [this, id, group,
+                                                 reply_to](schema::keeper_reply answer) {
         answer.set_id(id);
         answer.set_group(static_cast<std::uint32_t>(group.value()));
         if (answer.result() != schema::keeper_reply::done)
-            answer.set_leader(leader_node(*hosts_.at(group)));
+            answer.set_leader(leader_node(*replicas_.at(group)));
         schema::envelope envelope;
         *envelope.mutable_reply() = std::move(answer);
         hub_->send(peer_address(reply_to), envelope);
     };
     const instant now = monotonic_now();
     metrics_.count("requests");
-    // An answer from the state counts only while no other member can lead, and proposals are left
-    // to the leader; the lease covers both.
-    if (!host->second->raft().leads() || !host->second->raft().may_read(now)) {
-        schema::keeper_reply refused;
-        refused.set_result(host->second->raft().leads() ? schema::keeper_reply::unavailable
-                                                        : schema::keeper_reply::not_leader);
-        reply(std::move(refused));
+    // Proposals are made by the leader only, and queries are answered from its state, which is up
+    // to date only while no other member can lead. A valid lease is required for both.
+    if (!replica->second->raft().leads() || !replica->second->raft().may_read(now)) {
+        schema::keeper_reply refusal;
+        refusal.set_result(replica->second->raft().leads() ? schema::keeper_reply::unavailable
+                                                           : schema::keeper_reply::not_leader);
+        reply(std::move(refusal));
         return;
     }
     switch (request.request_case()) {
     case schema::keeper_request::kControl:
-        host->second->propose(request.control().SerializeAsString(), reply, now);
+        replica->second->propose(request.control().SerializeAsString(), reply, now);
         break;
     case schema::keeper_request::kHistory:
         serve_history(request, reply);
         break;
     case schema::keeper_request::kHeld:
         if (work_.count(group) > 0)
-            serve_held(request.held(), group, reply_to);
+            reconcile_held_items(request.held(), group, reply_to);
         break;
     default:
         serve_work(request, reply);
@@ -91,8 +91,8 @@
     }
 }
 
-void service::serve_held(const schema::held_items& held, group_id group,
-                         const std::string& reply_to) {
+void service::reconcile_held_items(const schema::held_items& held, group_id group,
+                                   const std::string& reply_to) {
     const schema::stale_items stale = work_.at(group).leader->reconcile(held, monotonic_now());
     if (stale.jobs_size() == 0)
         return;
@@ -103,7 +103,7 @@
 }
 
 void service::serve_history(const schema::keeper_request&,
-                            const group_host::reply_function& reply) {
+                            const group_replica::reply_callback& reply) {
     schema::keeper_reply answer;
     for (const schema::change_record& change : control_.history()) {
         schema::change_record* listed = answer.add_history();
@@ -113,15 +113,15 @@
         listed->set_digest(change.digest());
     }
     if (answer.history_size() > 0) {
-        schema::change_record* newest = answer.mutable_history(answer.history_size() - 1);
-        newest->set_plans(control_.current()->plans());
-        newest->set_allowances(control_.current()->allowances());
+        schema::change_record* latest = answer.mutable_history(answer.history_size() - 1);
+        latest->set_plans(control_.current()->plans());
+        latest->set_allowances(control_.current()->allowances());
     }
     reply(std::move(answer));
 }
 
 void service::serve_work(const schema::keeper_request& request,
-                         const group_host::reply_function& reply) {
+                         const group_replica::reply_callback& reply) {
     const group_id id(request.group());
     auto group = work_.find(id);
     if (group == work_.end())
@@ -137,7 +137,7 @@
         else if (request.work().has_claim())
             propose_claim(request.work(), id, reply);
         else
-            hosts_.at(id)->propose(request.work().SerializeAsString(), reply, now);
+            replicas_.at(id)->propose(request.work().SerializeAsString(), reply, now);
         break;
     case schema::keeper_request::kQuery: {
         schema::keeper_reply answer;
@@ -154,17 +154,17 @@
 }
 
 void service::propose_claim(const schema::work_command& command, group_id group,
-                            const group_host::reply_function& reply) {
+                            const group_replica::reply_callback& reply) {
     const std::string team = command.claim().team();
     const std::string key = command.claim().key();
-    hosts_.at(group)->propose(
+    replicas_.at(group)->propose(
         command.SerializeAsString(),
         [this, group, team, key, reply](schema::keeper_reply answer) {
             if (answer.work().result() == schema::work_reply::replay) {
-                const state::result<void> filled = work_.at(group).state.fill_answer(
+                const state::result<void> completed = work_.at(group).state.fill_answer(
                     *answer.mutable_work(), team, key,
                     [this](const storage::position& at) { return store_.read_command(at); });
-                if (!filled)
+                if (!completed)
                     answer.set_result(schema::keeper_reply::unavailable);
             }
             reply(std::move(answer));
@@ -179,14 +179,14 @@
 }
 
 void service::on_keeper_hello(const schema::keeper_hello& hello) {
-    see_keeper(hello, monotonic_now());
-    // A founder that missed the moment learns here what the others decided.
-    const bool founded = !hosts_control() || hosts_.at(control_group)->founded();
-    if (!founded && hello.control() && hello.founders().members_size() > 0)
-        founders_ = consensus::members_from_proto(hello.founders());
+    record_keeper(hello, monotonic_now());
+    // An initial member that missed the bootstrap learns from the others who the members are.
+    const bool bootstrapped = !hosts_control() || replicas_.at(control_group)->is_bootstrapped();
+    if (!bootstrapped && hello.control() && hello.founders().members_size() > 0)
+        initial_members_ = consensus::members_from_proto(hello.founders());
     if (uses_seeds() && hosts_control())
         send_news(peer_address(hello.address()), keepers_.at(hello.node()));
-    answer_waiting_words();
+    answer_pending_announcements();
 }
 
 } // namespace cassia::keeper
--- a/lib/keeper/snapshot_transfer.cpp
+++ b/lib/keeper/snapshot_transfer.cpp
@@ -8,75 +8,76 @@
 
 namespace {
 constexpr std::size_t part_bytes = 1 << 20;
-constexpr milliseconds resend_after(1000);
+constexpr milliseconds resend_interval(1000);
 } // namespace
 
 snapshot_sender::snapshot_sender(consensus::log_base base, std::string state,
-                                 std::vector<storage::position> places)
-    : base_(std::move(base)), state_(std::move(state)), places_(std::move(places)) {}
+                                 std::vector<storage::position> positions)
+    : base_(std::move(base)), state_(std::move(state)), positions_(std::move(positions)) {}
 
 storage::result<std::optional<schema::snapshot_part>>
 snapshot_sender::next_part(instant now, const command_reader& read) {
-    if (complete_ || (waiting_ && now - sent_at_ < resend_after))
+    if (complete_ || (awaits_ack_ && now - sent_at_ < resend_interval))
         return std::optional<schema::snapshot_part>();
     schema::snapshot_part part;
     part.set_index(base_.index);
     part.set_term(base_.term.value());
-    part.set_number(number_);
+    part.set_number(part_number_);
     std::size_t bytes = 0;
-    end_place_ = first_place_;
-    while (end_place_ < places_.size() && bytes < part_bytes) {
-        storage::result<std::string> command = read(places_[end_place_]);
+    part_end_ = part_begin_;
+    while (part_end_ < positions_.size() && bytes < part_bytes) {
+        storage::result<std::string> command = read(positions_[part_end_]);
         if (!command)
             return failure(command.error());
         bytes += command.value().size();
         schema::body_copy* copy = part.add_bodies();
-        copy->mutable_origin()->set_segment(places_[end_place_].segment);
-        copy->mutable_origin()->set_offset(places_[end_place_].offset);
+        copy->mutable_origin()->set_segment(positions_[part_end_].segment);
+        copy->mutable_origin()->set_offset(positions_[part_end_].offset);
         copy->set_record(std::move(command.value()));
-        ++end_place_;
+        ++part_end_;
     }
-    last_ = end_place_ == places_.size();
-    if (last_) {
+    is_last_part_ = part_end_ == positions_.size();
+    if (is_last_part_) {
         part.set_last(true);
         part.set_state(state_);
         *part.mutable_members() = consensus::members_to_proto(base_.members);
     }
-    waiting_ = true;
+    awaits_ack_ = true;
     sent_at_ = now;
     return std::optional<schema::snapshot_part>(std::move(part));
 }
 
-void snapshot_sender::taken(std::uint32_t number) {
-    if (number != number_ || !waiting_)
+void snapshot_sender::on_acknowledged(std::uint32_t number) {
+    if (number != part_number_ || !awaits_ack_)
         return;
-    waiting_ = false;
-    complete_ = last_;
-    first_place_ = end_place_;
-    ++number_;
+    awaits_ack_ = false;
+    complete_ = is_last_part_;
+    part_begin_ = part_end_;
+    ++part_number_;
 }
 
-snapshot_receiver::progress snapshot_receiver::take(const schema::snapshot_part& part,
-                                                    const body_writer& write) {
+snapshot_receiver::part_result snapshot_receiver::receive(const schema::snapshot_part& part,
+                                                          const body_writer& write) {
+    // Part 0 begins a new transfer, whatever has been received of another one.
     if (part.number() == 0) {
         base_ = {part.index(), term_number(part.term()), {}};
-        places_.clear();
-        next_ = 0;
+        relocations_.clear();
+        next_part_number_ = 0;
     }
-    const bool expected = part.number() == next_ && part.index() == base_.index &&
+    const bool expected = part.number() == next_part_number_ && part.index() == base_.index &&
                           term_number(part.term()) == base_.term;
     if (!expected)
-        return progress::refused;
-    ++next_;
+        return part_result::rejected;
+    ++next_part_number_;
     for (const schema::body_copy& copy : part.bodies()) {
         const storage::position origin{copy.origin().segment(), copy.origin().offset()};
-        places_[origin] = write(copy.record());
+        relocations_[origin] = write(copy.record());
     }
     if (!part.last())
-        return progress::taken;
+        return part_result::accepted;
     state_ = part.state();
     base_.members = consensus::members_from_proto(part.members());
-    return progress::complete;
+    return part_result::complete;
 }
 
 } // namespace cassia::keeper
--- a/unittests/keeper/gateway_heartbeat_test.cpp
+++ b/unittests/keeper/gateway_heartbeat_test.cpp
@@ -1,4 +1,4 @@
-// What a keeper answers to the heartbeats of many entries.
+// How a keeper answers the heartbeats of many gateways.
 
 #include "cassia/keeper/heartbeat_queue.h"
 #include "cassia/keeper/route_table_delivery.h"
@@ -12,7 +12,7 @@
 
 namespace {
 
-schema::entry_hello hello_of(int number, std::uint64_t sent_at) {
+schema::entry_hello make_hello(int number, std::uint64_t sent_at) {
     schema::entry_hello hello;
     hello.set_entry("g" + std::to_string(number));
     hello.set_sent_at_us(sent_at);
@@ -21,12 +21,12 @@
 
 } // namespace
 
-// Guards against a queue of old heartbeats that grows while entries go on asking.
-TEST_CASE("of each entry only the newest heartbeat waits", "[hello]") {
+// Guards against a queue of outdated heartbeats that grows while the keeper is busy.
+TEST_CASE("only the latest heartbeat of each gateway is queued", "[hello]") {
     heartbeat_queue queue;
     for (std::uint64_t round = 1; round <= 50; ++round) {
         for (int i = 0; i < 20; ++i)
-            queue.add(hello_of(i, round));
+            queue.add(make_hello(i, round));
     }
     int answered = 0;
     while (const std::optional<schema::entry_hello> hello = queue.next()) {
@@ -37,31 +37,31 @@
     CHECK(queue.empty());
 }
 
-// Guards against entries that are never answered: each asks four times as often as can be answered.
-TEST_CASE("a keeper that can't answer all answers each in turn", "[hello]") {
+// Guards against starvation: heartbeats arrive four times as fast as they can be answered.
+TEST_CASE("an overloaded keeper answers gateways round-robin", "[hello]") {
     heartbeat_queue queue;
     std::map<std::string, int> answered;
     for (std::uint64_t round = 0; round < 400; ++round) {
         for (int i = 0; i < 100; ++i)
-            queue.add(hello_of(i, round));
+            queue.add(make_hello(i, round));
         for (int i = 0; i < 25; ++i)
             ++answered[queue.next()->entry()];
     }
     CHECK(answered.size() == 100);
-    for (const auto& one : answered)
-        CHECK(one.second == 100);
+    for (const auto& gateway : answered)
+        CHECK(gateway.second == 100);
 }
 
-// Guards against a large table that is sent again to each heartbeat while it is on its way.
-TEST_CASE("a table on its way is not sent again", "[hello]") {
+// Guards against sending a large route table with every heartbeat while it is in transit.
+TEST_CASE("a route table in transit is not sent again", "[hello]") {
     const instant start(std::chrono::seconds(100));
-    table_delivery delivery;
+    route_table_delivery delivery;
     CHECK(delivery.is_due(5, 4, start));
-    delivery.sent(5, start);
+    delivery.on_sent(5, start);
     CHECK_FALSE(delivery.is_due(5, 4, start + milliseconds(400)));
     CHECK(delivery.is_due(5, 4, start + milliseconds(500)));
     CHECK_FALSE(delivery.is_due(5, 5, start + milliseconds(900)));
     CHECK(delivery.is_due(6, 4, start + milliseconds(100)));
-    delivery.restarted();
+    delivery.reset();
     CHECK(delivery.is_due(5, 0, start + milliseconds(100)));
 }
--- a/unittests/keeper/membership_planner_test.cpp
+++ b/unittests/keeper/membership_planner_test.cpp
@@ -1,4 +1,4 @@
-// How a cluster forms, and what replaces a lost disk.
+// Bootstrap and membership changes of a group, and the transfer of snapshots.
 
 #include "cassia/keeper/membership_planner.h"
 #include "cassia/keeper/snapshot_transfer.h"
@@ -13,69 +13,74 @@
 
 const instant start = instant(std::chrono::seconds(1000));
 
-keeper_sighting sighting(const std::string& node, std::uint64_t disk, bool empty, instant seen) {
-    return {node, disk_id(disk), "", empty, seen};
+keeper_status make_status(const std::string& node, std::uint64_t disk, bool empty,
+                          instant last_seen) {
+    return {node, disk_id(disk), "", empty, last_seen};
 }
 
-consensus::raft_group lone_leader(const consensus::member_list& more) {
-    consensus::member_list list{{disk_id(1), "k1", "", true}};
+// A group led by disk 1 of node k1, with further members that never answer.
+consensus::raft_group make_leader(const consensus::member_list& others) {
+    consensus::member_list members{{disk_id(1), "k1", "", true}};
     consensus::raft_group group(group_id(0), disk_id(1), consensus::raft_settings(),
                                 {term_number(1), disk_id()},
-                                consensus::raft_log({1, term_number(1), list}), 1, start);
+                                consensus::raft_log({1, term_number(1), members}), 1, start);
     group.tick(start + milliseconds(1500));
     group.persisted(2, group.term());
-    list.insert(list.end(), more.begin(), more.end());
-    group.propose_members(list, start + milliseconds(1500));
+    members.insert(members.end(), others.begin(), others.end());
+    group.propose_members(members, start + milliseconds(1500));
     group.persisted(3, group.term());
     return group;
 }
 
 } // namespace
 
-// Story: two of three VMs lose their disks, come back, and print an empty fleet's lists as if
-// nothing had ever been accepted.
-TEST_CASE("a cluster forms only when every founder says it is empty", "[keeper]") {
-    founding one({"k1", "k2", "k3"});
-    one.saw(sighting("k1", 1, true, start));
-    one.saw(sighting("k2", 2, true, start));
-    CHECK_FALSE(one.first_members(start));
-    one.saw(sighting("k3", 3, false, start));
-    CHECK_FALSE(one.first_members(start));
-    one.saw(sighting("k3", 3, true, start));
-    CHECK(one.first_members(start)->size() == 3);
-    CHECK_FALSE(one.first_members(start + milliseconds(3500)));
+// Guards against a second bootstrap that discards everything accepted so far: two of three VMs come
+// back with empty disks and form a majority of their own.
+TEST_CASE("a group is bootstrapped only when every initial member reports an empty disk",
+          "[keeper]") {
+    membership_planner planner({"k1", "k2", "k3"});
+    planner.update(make_status("k1", 1, true, start));
+    planner.update(make_status("k2", 2, true, start));
+    CHECK_FALSE(planner.initial_members(start));
+    planner.update(make_status("k3", 3, false, start));
+    CHECK_FALSE(planner.initial_members(start));
+    planner.update(make_status("k3", 3, true, start));
+    CHECK(planner.initial_members(start)->size() == 3);
+    CHECK_FALSE(planner.initial_members(start + milliseconds(3500)));
 }
 
-TEST_CASE("a new disk joins as a learner and replaces the old one last", "[keeper]") {
+TEST_CASE("a new disk joins as a learner before the old one is removed", "[keeper]") {
     const instant now = start + milliseconds(4000);
-    founding one({"k1", "k2"});
-    consensus::raft_group group = lone_leader({{disk_id(2), "k2", "", false}});
-    one.saw(sighting("k2", 22, true, now));
-    const std::optional<consensus::member_list> learner = one.next_change(group, now);
-    REQUIRE(learner);
-    REQUIRE(learner->size() == 3);
-    CHECK_FALSE(learner->back().voter);
-    CHECK(learner->back().disk == disk_id(22));
-    REQUIRE(group.propose_members(*learner, now));
+    membership_planner planner({"k1", "k2"});
+    consensus::raft_group group = make_leader({{disk_id(2), "k2", "", false}});
+    planner.update(make_status("k2", 22, true, now));
+    const std::optional<consensus::member_list> members = planner.next_change(group, now);
+    REQUIRE(members);
+    REQUIRE(members->size() == 3);
+    CHECK_FALSE(members->back().voter);
+    CHECK(members->back().disk == disk_id(22));
+    REQUIRE(group.propose_members(*members, now));
     group.persisted(4, group.term());
-    CHECK_FALSE(one.next_change(group, now + milliseconds(3500)));
+    CHECK_FALSE(planner.next_change(group, now + milliseconds(3500)));
 }
 
-TEST_CASE("a spare joins only while a voter is silent", "[keeper]") {
+TEST_CASE("a spare is added only while a voter is silent", "[keeper]") {
     const instant now = start + milliseconds(1600);
-    founding one({"k1"});
-    const consensus::raft_group group = lone_leader({});
-    one.saw(sighting("spare", 9, true, now));
-    CHECK_FALSE(one.next_change(group, now));
+    membership_planner planner({"k1"});
+    const consensus::raft_group group = make_leader({});
+    planner.update(make_status("spare", 9, true, now));
+    CHECK_FALSE(planner.next_change(group, now));
 }
 
-// Story: a repaired keeper serves results with other items' bodies, or misses some.
-TEST_CASE("a snapshot arrives whole, with lost and doubled parts", "[keeper]") {
-    constexpr std::uint32_t bodies = 40;
-    std::vector<storage::position> places;
-    for (std::uint32_t i = 0; i < bodies; ++i)
-        places.push_back({7, i});
-    snapshot_sender sender({12, term_number(3), {{disk_id(1), "k1", "", true}}}, "state", places);
+// Guards against a restored member that lacks bodies or returns those of other items, when parts of
+// the snapshot are lost or repeated on the way.
+TEST_CASE("a snapshot is complete despite lost and repeated parts", "[keeper]") {
+    constexpr std::uint32_t body_count = 40;
+    std::vector<storage::position> positions;
+    for (std::uint32_t i = 0; i < body_count; ++i)
+        positions.push_back({7, i});
+    snapshot_sender sender({12, term_number(3), {{disk_id(1), "k1", "", true}}}, "state",
+                           positions);
     snapshot_receiver receiver;
     std::map<storage::position, std::string> written;
     const auto read = [](const storage::position& at) -> storage::result<std::string> {
@@ -87,60 +92,60 @@
         return at;
     };
     instant now = start;
-    snapshot_receiver::progress last = snapshot_receiver::progress::refused;
+    snapshot_receiver::part_result last = snapshot_receiver::part_result::rejected;
     for (int i = 0; i < 100 && !sender.complete(); ++i) {
         now += milliseconds(1100);
         const auto part = sender.next_part(now, read);
         REQUIRE(part);
         REQUIRE(part.value());
         if (i % 3 == 0)
-            continue; // Lost on the way.
-        last = receiver.take(*part.value(), write);
-        REQUIRE(last != snapshot_receiver::progress::refused);
-        CHECK(receiver.take(*part.value(), write) ==
-              (part.value()->number() == 0 ? last : snapshot_receiver::progress::refused));
-        sender.taken(part.value()->number());
-        sender.taken(part.value()->number());
+            continue; // Lost in transit.
+        last = receiver.receive(*part.value(), write);
+        REQUIRE(last != snapshot_receiver::part_result::rejected);
+        CHECK(receiver.receive(*part.value(), write) ==
+              (part.value()->number() == 0 ? last : snapshot_receiver::part_result::rejected));
+        sender.on_acknowledged(part.value()->number());
+        sender.on_acknowledged(part.value()->number());
     }
     CHECK(sender.complete());
-    CHECK(last == snapshot_receiver::progress::complete);
+    CHECK(last == snapshot_receiver::part_result::complete);
     CHECK(receiver.state() == "state");
-    REQUIRE(receiver.places().size() == bodies);
-    for (const auto& place : receiver.places())
-        CHECK(written.at(place.second) == read(place.first).value());
+    REQUIRE(receiver.relocations().size() == body_count);
+    for (const auto& relocation : receiver.relocations())
+        CHECK(written.at(relocation.second) == read(relocation.first).value());
 }
 
-// Story: seeds name three keepers, but two VMs with disks may be lost at once. A group of three
-// founders must grow to five, one member after the other, and no further.
-TEST_CASE("a group grows to its target, one joining member at a time", "[keeper]") {
+// With seeds for three keepers and two tolerated losses, a group of three initial members must grow
+// to five, one member at a time, and no further.
+TEST_CASE("a group grows to its target size, one member at a time", "[keeper]") {
     const instant now = start + milliseconds(1600);
-    founding one({"k1"});
-    one.set_target(2);
-    consensus::raft_group group = lone_leader({});
-    one.saw(sighting("k2", 2, false, now));
-    one.saw(sighting("k3", 3, false, now));
-    const std::optional<consensus::member_list> grown = one.next_change(group, now);
-    REQUIRE(grown);
-    REQUIRE(grown->size() == 2);
-    REQUIRE(group.propose_members(*grown, now));
+    membership_planner planner({"k1"});
+    planner.set_target_size(2);
+    consensus::raft_group group = make_leader({});
+    planner.update(make_status("k2", 2, false, now));
+    planner.update(make_status("k3", 3, false, now));
+    const std::optional<consensus::member_list> members = planner.next_change(group, now);
+    REQUIRE(members);
+    REQUIRE(members->size() == 2);
+    REQUIRE(group.propose_members(*members, now));
     group.persisted(group.log().last_index(), group.term());
-    CHECK_FALSE(one.next_change(group, now));
+    CHECK_FALSE(planner.next_change(group, now));
 }
 
-// Story: a store is taken away with its disk as soon as it is said to be empty. Were its group to
-// put it out before another member is in its place, the next loss would cost acknowledged jobs.
-TEST_CASE("a retiring member leaves only when another one is in its place", "[keeper]") {
+// A retired keeper is taken away with its disk at once. Guards against removing it from its group
+// before its replacement votes: the next loss would then cost acknowledged jobs.
+TEST_CASE("a retiring member is removed only after its replacement has joined", "[keeper]") {
     const instant now = start + milliseconds(1600);
-    founding one({"k1", "k2"});
-    one.set_target(2);
-    one.set_retiring({disk_id(2)});
-    consensus::raft_group group = lone_leader({{disk_id(2), "k2", "", true}});
-    one.saw(sighting("k2", 2, false, now));
-    CHECK_FALSE(one.next_change(group, now));
-    one.saw(sighting("k3", 3, false, now));
-    const std::optional<consensus::member_list> joined = one.next_change(group, now);
-    REQUIRE(joined);
-    CHECK(joined->size() == 3);
-    CHECK(joined->back().disk == disk_id(3));
-    CHECK_FALSE(joined->back().voter);
+    membership_planner planner({"k1", "k2"});
+    planner.set_target_size(2);
+    planner.set_retiring({disk_id(2)});
+    consensus::raft_group group = make_leader({{disk_id(2), "k2", "", true}});
+    planner.update(make_status("k2", 2, false, now));
+    CHECK_FALSE(planner.next_change(group, now));
+    planner.update(make_status("k3", 3, false, now));
+    const std::optional<consensus::member_list> members = planner.next_change(group, now);
+    REQUIRE(members);
+    CHECK(members->size() == 3);
+    CHECK(members->back().disk == disk_id(3));
+    CHECK_FALSE(members->back().voter);
 }
--- a/unittests/keeper/snapshot_schedule_test.cpp
+++ b/unittests/keeper/snapshot_schedule_test.cpp
@@ -1,4 +1,4 @@
-// When snapshots are taken.
+// When a group's snapshot is due.
 
 #include "cassia/keeper/snapshot_schedule.h"
 
@@ -22,11 +22,11 @@
     CHECK_FALSE(schedule.is_due({1, 0, 0}, start + std::chrono::hours(1)));
 }
 
-TEST_CASE("a change is in a snapshot soon, so that a restart knows it without a leader",
+TEST_CASE("a change is in a snapshot within the interval, so that a restart needs no leader",
           "[keeper]") {
     snapshot_schedule schedule(1000, milliseconds(500));
     CHECK(schedule.is_due({1, 0, 0}, start));
-    schedule.taken(start);
+    schedule.on_snapshot_taken(start);
     CHECK_FALSE(schedule.is_due({1, 0, 0}, start + milliseconds(499)));
     CHECK(schedule.is_due({1, 0, 0}, start + milliseconds(500)));
     CHECK_FALSE(schedule.is_due({0, 0, 0}, start + std::chrono::hours(1)));
--- a/unittests/keeper/work_leader_test.cpp
+++ b/unittests/keeper/work_leader_test.cpp
@@ -1,4 +1,4 @@
-// What the leader of a work group says to entries that hold its items.
+// How the leader of a work group deals with the holders of its items.
 
 #include "cassia/keeper/work_leader.h"
 #include "cassia/schema/messages.pb.h"
@@ -13,15 +13,15 @@
 namespace {
 
 const instant start = instant(std::chrono::seconds(1000));
-constexpr std::uint64_t at_time = 1000;
+constexpr std::uint64_t command_time = 1000;
 
-/// A job of two items, and its leader.
-class leading_group {
+/// A work group with a job of two items, and its leader.
+class work_group_fixture {
 public:
-    leading_group()
+    work_group_fixture()
         : leader(state, milliseconds(5000),
                  {[this](const schema::work_command& command,
-                         const work_leader_hooks::reply_function& reply) {
+                         const work_leader_hooks::reply_callback& reply) {
                       schema::keeper_reply answer;
                       *answer.mutable_work() = apply(command);
                       reply(answer);
@@ -33,7 +33,7 @@
         begin.mutable_begin()->set_job("job");
         begin.mutable_begin()->set_team("team");
         begin.mutable_begin()->set_total(2);
-        begin.mutable_begin()->set_at(at_time);
+        begin.mutable_begin()->set_at(command_time);
         apply(begin);
         schema::work_command items;
         items.mutable_items()->set_job("job");
@@ -46,9 +46,9 @@
         apply(items);
         schema::work_command commit;
         commit.mutable_commit()->set_job("job");
-        commit.mutable_commit()->set_at(at_time);
+        commit.mutable_commit()->set_at(command_time);
         apply(commit);
-        leader.lead(true, start);
+        leader.set_leading(true, start);
     }
     void lease(const std::string& holder, std::uint32_t ordinal) {
         schema::work_command command;
@@ -57,14 +57,14 @@
         command.mutable_lease()->add_ordinals(ordinal);
         apply(command);
     }
-    void lose(const std::string& holder) {
+    void release(const std::string& holder) {
         schema::work_command command;
         command.mutable_lost()->set_holder(holder);
-        command.mutable_lost()->set_at(at_time);
+        command.mutable_lost()->set_at(command_time);
         apply(command);
     }
-    schema::stale_items told(const std::string& holder, std::uint32_t ordinal,
-                             std::uint32_t attempt) {
+    schema::stale_items report_held(const std::string& holder, std::uint32_t ordinal,
+                                    std::uint32_t attempt) {
         schema::held_items held;
         held.set_holder(holder);
         schema::held_job* job = held.add_jobs();
@@ -88,28 +88,28 @@
 
 } // namespace
 
-// Story: a team ends a job and is told so; five seconds later one of its items reaches an
-// engine. A gateway that was silent for a while had lost its lease, another one ran the item, and
-// the end of the job was told to that one only.
-TEST_CASE("a holder is told which items are no longer its own", "[work_leader]") {
-    leading_group group;
+// Guards against items that run after their job's cancellation was confirmed: a gateway that was
+// silent for a while lost its lease, another one got the item, and only that one was told that the
+// job ended. An item reached an engine five seconds after the confirmation.
+TEST_CASE("a holder is told which of its items are no longer leased to it", "[work_leader]") {
+    work_group_fixture group;
     group.lease("g1/1", 0);
-    CHECK(group.told("g1/1", 0, 1).jobs_size() == 0);
-    group.lose("g1/1");
+    CHECK(group.report_held("g1/1", 0, 1).jobs_size() == 0);
+    group.release("g1/1");
     group.lease("g2/1", 0);
-    const schema::stale_items stale = group.told("g1/1", 0, 1);
+    const schema::stale_items stale = group.report_held("g1/1", 0, 1);
     REQUIRE(stale.jobs_size() == 1);
     CHECK(stale.jobs(0).job() == "job");
     CHECK(stale.jobs(0).ordinals(0) == 0);
     CHECK(stale.jobs(0).attempts(0) == 1);
-    CHECK(group.told("g2/1", 0, 2).jobs_size() == 0);
+    CHECK(group.report_held("g2/1", 0, 2).jobs_size() == 0);
 }
 
-// Story: after a restart of a gateway an item runs at two of them at once, and goes on after its
-// job was ended. The new process asked for items before its first hello had come, and the leader
-// took a holder that it had never seen for one that had been silent since the leader began.
-TEST_CASE("a holder that asks for items lives", "[work_leader]") {
-    leading_group group;
+// Guards against an item that runs on two gateways at once, and on after its job ended: a restarted
+// gateway asked for items before its first heartbeat arrived, and the leader presumed that a holder
+// it had never heard of had been silent since the leader's term began.
+TEST_CASE("a lease request shows that its holder is alive", "[work_leader]") {
+    work_group_fixture group;
     const instant later = start + milliseconds(20000);
     schema::lease_request request;
     request.set_holder("g1/2");
@@ -124,20 +124,20 @@
     CHECK(group.state.leases_of("g1/2").empty());
 }
 
-// Story: an item waits for five seconds for nothing: it was given back and leased to the same
-// gateway again, and the word about the first lease stopped the second run.
-TEST_CASE("only the attempt that was lost is stale", "[work_leader]") {
-    leading_group group;
+// Guards against an item that waits five seconds for nothing: it was released and leased to the
+// same gateway again, and the message that the first lease was lost stopped the second attempt.
+TEST_CASE("only the attempt whose lease was lost is stale", "[work_leader]") {
+    work_group_fixture group;
     group.lease("g1/1", 1);
-    group.lose("g1/1");
+    group.release("g1/1");
     group.lease("g1/1", 1);
-    const schema::stale_items stale = group.told("g1/1", 1, 1);
+    const schema::stale_items stale = group.report_held("g1/1", 1, 1);
     REQUIRE(stale.jobs_size() == 1);
     CHECK(stale.jobs(0).attempts(0) == 1);
-    CHECK(group.told("g1/1", 1, 2).jobs_size() == 0);
-    // Holders that name no attempts aren't judged.
-    CHECK(group.told("g3/1", 1, 0).jobs_size() == 0);
-    // A job that is gone has no leases.
+    CHECK(group.report_held("g1/1", 1, 2).jobs_size() == 0);
+    // Items reported without attempt numbers are not checked.
+    CHECK(group.report_held("g3/1", 1, 0).jobs_size() == 0);
+    // No lease exists for an unknown job.
     schema::held_items held;
     held.set_holder("g1/1");
     held.add_jobs()->set_job("gone");
