--- a/include/cassia/keeper/service.h
+++ b/include/cassia/keeper/service.h
@@ -225,8 +225,8 @@
     membership_planner work_planner_{std::vector<std::string>()}; ///< with seeds, of work groups
     std::string node_; ///< name of this keeper among the members of groups
 
-    state::control_state control_;
-    std::map<group_id, work_group> work_;
+    state::control_state control_state_;
+    std::map<group_id, work_group> work_groups_;
     std::map<group_id, std::unique_ptr<group_replica>> replicas_;
     std::map<group_id, group_change_logger> change_loggers_;
     pending_sync pending_sync_;
@@ -244,7 +244,7 @@
     std::size_t known_retiring_ = 0;
     std::uint64_t saved_changes_ = 0; ///< of the directory: those saved or being saved
     bool saving_endpoints_ = false;
-    std::uint64_t beacon_ = 0; ///< counts up while this keeper leads the control group
+    std::uint64_t beacon_counter_ = 0; ///< counts up while this keeper leads the control group
     std::uint64_t keepers_digest_ = 0;
     instant lists_refreshed_at_{};
     consensus::member_list initial_members_; ///< of the groups that this keeper helps to bootstrap
--- a/lib/keeper/service.cpp
+++ b/lib/keeper/service.cpp
@@ -100,7 +100,7 @@
         replicas_[control_group] = make_replica(control_group, make_control_state_machine());
     for (std::uint32_t i = 1; hosts_work() && i <= settings_.cluster().work_groups(); ++i) {
         const group_id id(i);
-        work_group& group = work_[id];
+        work_group& group = work_groups_[id];
         replicas_[id] = make_replica(id, make_work_state_machine(group, id));
         work_leader_hooks hooks;
         hooks.propose = [this, id](const schema::work_command& command,
@@ -142,24 +142,24 @@
         schema::control_command command;
         schema::keeper_reply reply;
         if (command.ParseFromString(bytes))
-            *reply.mutable_control() = control_.apply(command);
+            *reply.mutable_control() = control_state_.apply(command);
         const bool accepted = reply.control().result() == schema::control_reply::accepted;
         if (accepted && command.has_change())
             on_config_applied();
         if (accepted && command.has_routes()) {
-            log_info("routes_applied").with("version", control_.routes().version());
+            log_info("routes_applied").with("version", control_state_.routes().version());
             schedule_beacon_push();
         }
         if (accepted && (command.has_found_work() || command.has_retire()))
             push_news();
         return reply;
     };
-    machine.save = [this] { return control_.save(); };
+    machine.save = [this] { return control_state_.save(); };
     machine.load = [this](const std::string& image, const position_map&) {
         state::result<state::control_state> loaded = state::control_state::load(image);
         if (!loaded)
             return false;
-        control_ = std::move(loaded.value());
+        control_state_ = std::move(loaded.value());
         on_config_applied();
         return true;
     };
@@ -226,7 +226,7 @@
                 replica.second->change_members(*members, now);
         }
         if (hosts_control() && replicas_.at(control_group)->raft().may_read(now)) {
-            ++beacon_;
+            ++beacon_counter_;
             propose_work_group_members();
         }
     });
@@ -249,7 +249,7 @@
         change_loggers_.at(replica.first).observe(replica.second->raft());
     }
     const wall_time wall = wall_now();
-    for (std::pair<const group_id, work_group>& group : work_) {
+    for (std::pair<const group_id, work_group>& group : work_groups_) {
         group.second.leader->set_leading(replicas_.at(group.first)->raft().leads(), now);
         group.second.leader->tick(now, wall);
     }
--- a/lib/keeper/service_api.cpp
+++ b/lib/keeper/service_api.cpp
@@ -51,7 +51,7 @@
 void service::read_routes(const control_callback& done) {
     const group_replica& replica = *replicas_.at(control_group);
     if (replica.raft().may_read(monotonic_now())) {
-        done({control_outcome::done, "", control_.routes()});
+        done({control_outcome::done, "", control_state_.routes()});
         return;
     }
     const bool other_leads = !replica.raft().leads() && replica.raft().leader() != disk_id();
@@ -168,7 +168,7 @@
 
 std::set<disk_id> service::retiring_disks() const {
     std::set<disk_id> disks;
-    for (const schema::retire_command& command : control_.retiring())
+    for (const schema::retire_command& command : control_state_.retiring())
         disks.insert(disk_id(command.disk()));
     return disks;
 }
@@ -220,7 +220,7 @@
 // without warning.
 std::optional<bool> service::is_keeper_retired(const std::string& name) const {
     std::optional<disk_id> disk;
-    for (const schema::retire_command& command : control_.retiring()) {
+    for (const schema::retire_command& command : control_state_.retiring()) {
         if (command.name() == name)
             disk = disk_id(command.disk());
     }
--- a/lib/keeper/service_discovery.cpp
+++ b/lib/keeper/service_discovery.cpp
@@ -98,8 +98,8 @@
     schema::envelope envelope;
     schema::keeper_news* news = envelope.mutable_news();
     *news->mutable_self() = own_hello(to);
-    *news->mutable_work_founders() = control_.work_founders();
-    for (const schema::retire_command& command : control_.retiring())
+    *news->mutable_work_founders() = control_state_.work_founders();
+    for (const schema::retire_command& command : control_state_.retiring())
         news->add_retiring_disks(command.disk());
     const std::set<std::uint64_t> members = work_group_disks(now);
     const bool spare = is_spare(keeper.hello, members);
@@ -219,7 +219,7 @@
 }
 
 void service::propose_work_group_members() {
-    if (!uses_seeds() || control_.work_founders().members_size() > 0)
+    if (!uses_seeds() || control_state_.work_founders().members_size() > 0)
         return;
     const instant now = monotonic_now();
     std::vector<schema::keeper_hello> candidates;
@@ -281,7 +281,7 @@
             disks.insert(view.disks().begin(), view.disks().end());
     }
     if (disks.empty()) {
-        for (const schema::group_member& member : control_.work_founders().members())
+        for (const schema::group_member& member : control_state_.work_founders().members())
             disks.insert(member.disk());
     }
     return disks;
--- a/lib/keeper/service_gateways.cpp
+++ b/lib/keeper/service_gateways.cpp
@@ -61,7 +61,7 @@
     if (hosts_control() && uses_seeds())
         roster_.saw(hello, now);
     const std::string holder = holder_name(hello);
-    for (std::pair<const group_id, work_group>& group : work_) {
+    for (std::pair<const group_id, work_group>& group : work_groups_) {
         if (replicas_.at(group.first)->raft().leads())
             group.second.leader->mark_holder_alive(holder, now);
     }
@@ -81,16 +81,16 @@
     beacon.set_in_touch(control.leads() ? control.may_read(now) : control.leader() != disk_id());
     if (control.may_read(now)) {
         beacon.set_leads_control(true);
-        beacon.set_beacon(beacon_);
-        beacon.set_config_version(control_.version());
-        if (gateway.hello.config_version() < control_.version())
-            *beacon.mutable_config() = *control_.current();
+        beacon.set_beacon(beacon_counter_);
+        beacon.set_config_version(control_state_.version());
+        if (gateway.hello.config_version() < control_state_.version())
+            *beacon.mutable_config() = *control_state_.current();
     }
     // Route tables need no lease: a table that a member has applied is committed, and gateways
     // never go back to a lower version.
-    const std::uint64_t latest = control_.routes().version();
+    const std::uint64_t latest = control_state_.routes().version();
     if (uses_seeds() && gateway.route_table.is_due(latest, gateway.hello.routes_version(), now)) {
-        *beacon.mutable_routes() = control_.routes();
+        *beacon.mutable_routes() = control_state_.routes();
         // Gateways don't need the original document; only keepers return it.
         beacon.mutable_routes()->clear_document();
     }
@@ -162,7 +162,7 @@
             gateway.route_table.on_sent(beacon->routes().version(), now);
     }
     const std::string holder = holder_name(gateway.hello);
-    for (const std::pair<const group_id, work_group>& group : work_) {
+    for (const std::pair<const group_id, work_group>& group : work_groups_) {
         if (!replicas_.at(group.first)->raft().may_read(now))
             continue;
         beacon->add_leads(static_cast<std::uint32_t>(group.first.value()));
@@ -185,13 +185,13 @@
 }
 
 void service::on_config_applied() {
-    const schema::change_record* current = control_.current();
+    const schema::change_record* current = control_state_.current();
     if (current == nullptr)
         return;
     settings::result<std::shared_ptr<const settings::catalog>> parsed = settings::catalog::parse(
         current->version(), "plans", current->plans(), "allowances", current->allowances());
     if (parsed) {
-        for (std::pair<const group_id, work_group>& group : work_) {
+        for (std::pair<const group_id, work_group>& group : work_groups_) {
             for (const std::pair<const team_id, settings::plan>& plan : parsed.value()->plans())
                 group.second.leader->set_weight(plan.first, plan.second.weight);
         }
@@ -231,7 +231,7 @@
 
 bool service::holds_items(const schema::entry_hello& hello) const {
     const std::string holder = holder_name(hello);
-    return std::any_of(work_.begin(), work_.end(), [&holder](const auto& group) {
+    return std::any_of(work_groups_.begin(), work_groups_.end(), [&holder](const auto& group) {
         return !group.second.state.leases_of(holder).empty();
     });
 }
--- a/lib/keeper/service_http.cpp
+++ b/lib/keeper/service_http.cpp
@@ -49,13 +49,13 @@
         listed += gateway.second.listed ? 1 : 0;
     metrics_.set("entries_listed", listed);
     metrics_.set("endpoints_serving", directory_.serving(now).size());
-    metrics_.set("routes_version", control_.routes().version());
+    metrics_.set("routes_version", control_state_.routes().version());
     metrics_.set("log_lines_dropped", dropped_log_lines());
     std::size_t jobs = 0;
     std::size_t groups_led = 0;
     for (const std::pair<const group_id, std::unique_ptr<group_replica>>& replica : replicas_)
         groups_led += replica.second->raft().leads() ? 1 : 0;
-    for (const std::pair<const group_id, work_group>& group : work_)
+    for (const std::pair<const group_id, work_group>& group : work_groups_)
         jobs += group.second.state.jobs().size();
     metrics_.set("groups_led", groups_led);
     metrics_.set("jobs_held", jobs);
@@ -69,8 +69,8 @@
     out["keeper"] = settings_.name();
     out["zone"] = settings_.zone();
     out["disk"] = recovered_.disk.value();
-    out["config_version"] = control_.version();
-    out["beacon"] = beacon_;
+    out["config_version"] = control_state_.version();
+    out["beacon"] = beacon_counter_;
     out["log_bytes"] = store_.log().bytes_on_disk();
     boost::json::array groups;
     for (const std::pair<const group_id, std::unique_ptr<group_replica>>& replica : replicas_) {
@@ -92,8 +92,8 @@
                  {"voter", member.voter},
                  {"active", member.disk == raft.self() || raft.is_active(member.disk, now)}});
         group["members"] = std::move(members);
-        auto work = work_.find(replica.first);
-        if (work != work_.end()) {
+        auto work = work_groups_.find(replica.first);
+        if (work != work_groups_.end()) {
             group["jobs"] = work->second.state.jobs().size();
             group["keys"] = work->second.state.key_count();
             boost::json::array holders;
--- a/lib/keeper/service_requests.cpp
+++ b/lib/keeper/service_requests.cpp
@@ -82,7 +82,7 @@
         serve_history(request, reply);
         break;
     case schema::keeper_request::kHeld:
-        if (work_.count(group) > 0)
+        if (work_groups_.count(group) > 0)
             reconcile_held_items(request.held(), group, reply_to);
         break;
     default:
@@ -93,7 +93,8 @@
 
 void service::reconcile_held_items(const schema::held_items& held, group_id group,
                                    const std::string& reply_to) {
-    const schema::stale_items stale = work_.at(group).leader->reconcile(held, monotonic_now());
+    const schema::stale_items stale =
+        work_groups_.at(group).leader->reconcile(held, monotonic_now());
     if (stale.jobs_size() == 0)
         return;
     log_info("stale_items_told").with("holder", held.holder()).with("jobs", stale.jobs_size());
@@ -105,7 +106,7 @@
 void service::serve_history(const schema::keeper_request&,
                             const group_replica::reply_callback& reply) {
     schema::keeper_reply answer;
-    for (const schema::change_record& change : control_.history()) {
+    for (const schema::change_record& change : control_state_.history()) {
         schema::change_record* listed = answer.add_history();
         listed->set_version(change.version());
         listed->set_change_id(change.change_id());
@@ -114,8 +115,8 @@
     }
     if (answer.history_size() > 0) {
         schema::change_record* latest = answer.mutable_history(answer.history_size() - 1);
-        latest->set_plans(control_.current()->plans());
-        latest->set_allowances(control_.current()->allowances());
+        latest->set_plans(control_state_.current()->plans());
+        latest->set_allowances(control_state_.current()->allowances());
     }
     reply(std::move(answer));
 }
@@ -123,8 +124,8 @@
 void service::serve_work(const schema::keeper_request& request,
                          const group_replica::reply_callback& reply) {
     const group_id id(request.group());
-    auto group = work_.find(id);
-    if (group == work_.end())
+    auto group = work_groups_.find(id);
+    if (group == work_groups_.end())
         return;
     const instant now = monotonic_now();
     const state::work_state::record_reader read = [this](const storage::position& at) {
@@ -161,7 +162,7 @@
         command.SerializeAsString(),
         [this, group, team, key, reply](schema::keeper_reply answer) {
             if (answer.work().result() == schema::work_reply::replay) {
-                const state::result<void> completed = work_.at(group).state.fill_answer(
+                const state::result<void> completed = work_groups_.at(group).state.fill_answer(
                     *answer.mutable_work(), team, key,
                     [this](const storage::position& at) { return store_.read_command(at); });
                 if (!completed)
