--- a/unittests/keeper/membership_planner_test.cpp
+++ b/unittests/keeper/membership_planner_test.cpp
@@ -115,8 +115,8 @@
         CHECK(written.at(relocation.second) == read(relocation.first).value());
 }
 
-// With seeds for three keepers and two tolerated losses, a group of three initial members must grow
-// to five, one member at a time, and no further.
+// Guards against a group that stays as small as its list of seeds: with three seeds and two
+// tolerated losses, it must grow from three members to five, one at a time, and no further.
 TEST_CASE("a group grows to its target size, one member at a time", "[keeper]") {
     const instant now = start + milliseconds(1600);
     membership_planner planner({"k1"});
