--- /dev/null
+++ b/lib/keeper/membership_planner.cpp
@@ -0,0 +1,127 @@
+#include "cassia/keeper/membership_planner.h"
+
+#include <algorithm>
+
+namespace cassia::keeper {
+
+namespace {
+constexpr milliseconds status_timeout(3000);
+} // namespace
+
+membership_planner::membership_planner(std::vector<std::string> nodes) {
+    set_initial_nodes(std::move(nodes));
+}
+
+void membership_planner::set_initial_nodes(std::vector<std::string> nodes) {
+    initial_nodes_ = std::move(nodes);
+    std::sort(initial_nodes_.begin(), initial_nodes_.end());
+}
+
+void membership_planner::update(const keeper_status& status) {
+    keepers_[status.node] = status;
+}
+
+peer_address membership_planner::address_of(disk_id disk) const {
+    for (const std::pair<const std::string, keeper_status>& keeper : keepers_) {
+        if (keeper.second.disk == disk)
+            return peer_address(keeper.second.address);
+    }
+    return peer_address();
+}
+
+bool membership_planner::is_recent(const keeper_status& status, instant now) const {
+    return now - status.last_seen < status_timeout;
+}
+
+std::optional<consensus::member_list> membership_planner::initial_members(instant now) const {
+    consensus::member_list members;
+    for (const std::string& node : initial_nodes_) {
+        auto found = keepers_.find(node);
+        if (found == keepers_.end() || !found->second.empty || !is_recent(found->second, now))
+            return std::nullopt;
+        members.push_back({found->second.disk, node, found->second.address, true});
+    }
+    return members;
+}
+
+static bool has_node(const consensus::member_list& members, const std::string& node) {
+    return std::any_of(members.begin(), members.end(),
+                       [&node](const consensus::member& member) { return member.node == node; });
+}
+
+// A disk that was wiped comes back under a new identity. It has lost its votes and acknowledged
+// entries, so it must not act as the old member: it joins as a learner, is promoted once it holds
+// everything committed, and only then is the old identity removed. If an empty disk counted towards
+// a quorum, losing a second VM right afterwards could lose an acknowledged record.
+std::optional<consensus::member_list>
+membership_planner::next_change(const consensus::raft_group& group, instant now) const {
+    consensus::member_list members = group.log().members();
+    for (const std::pair<const std::string, keeper_status>& keeper : keepers_) {
+        const keeper_status& candidate = keeper.second;
+        if (!may_add(members, candidate, group, now))
+            continue;
+        members.push_back({candidate.disk, candidate.node, candidate.address, false});
+        return members;
+    }
+    for (consensus::member& member : members) {
+        if (member.voter || !group.is_active(member.disk, now) || !group.caught_up(member.disk))
+            continue;
+        member.voter = true;
+        return members;
+    }
+    for (auto member = members.begin(); member != members.end(); ++member) {
+        if (!may_remove(members, *member, group, now))
+            continue;
+        members.erase(member);
+        return members;
+    }
+    return std::nullopt;
+}
+
+bool membership_planner::may_add(const consensus::member_list& members,
+                                 const keeper_status& candidate, const consensus::raft_group& group,
+                                 instant now) const {
+    const bool is_member =
+        std::any_of(members.begin(), members.end(), [&candidate](const consensus::member& member) {
+            return member.disk == candidate.disk;
+        });
+    if (!is_recent(candidate, now) || is_member || is_retiring(candidate.disk))
+        return false;
+    const bool has_replaceable_member = std::any_of(
+        members.begin(), members.end(), [this, &group, now](const consensus::member& member) {
+            const bool silent =
+                member.voter && member.disk != group.self() && !group.is_active(member.disk, now);
+            return silent || is_retiring(member.disk);
+        });
+    // Learners are added one at a time, because each costs the leader a copy of the state.
+    const bool has_active_learner =
+        std::any_of(members.begin(), members.end(), [&group, now](const consensus::member& member) {
+            return !member.voter && group.is_active(member.disk, now);
+        });
+    const bool below_target = members.size() < target_size_;
+    return has_node(members, candidate.node) ||
+           ((has_replaceable_member || below_target) && !has_active_learner);
+}
+
+bool membership_planner::may_remove(const consensus::member_list& members,
+                                    const consensus::member& candidate,
+                                    const consensus::raft_group& group, instant now) const {
+    if (candidate.disk == group.self())
+        return false;
+    const bool silent = !group.is_active(candidate.disk, now);
+    // The same node has joined with another disk.
+    const bool superseded = std::any_of(
+        members.begin(), members.end(), [&candidate, &group, now](const consensus::member& other) {
+            return other.node == candidate.node && other.disk != candidate.disk &&
+                   (other.voter || !candidate.voter) && group.is_active(other.disk, now);
+        });
+    const std::size_t voters = static_cast<std::size_t>(
+        std::count_if(members.begin(), members.end(),
+                      [](const consensus::member& member) { return member.voter; }));
+    const std::size_t target = std::max(target_size_, initial_nodes_.size());
+    const bool replacement_votes = candidate.voter && voters > target;
+    return (silent && (superseded || replacement_votes)) ||
+           (is_retiring(candidate.disk) && replacement_votes);
+}
+
+} // namespace cassia::keeper
--- /dev/null
+++ b/lib/keeper/service_discovery.cpp
@@ -0,0 +1,304 @@
+// Discovery of other keepers by seeds, the news that keepers send each other, and the bootstrap of
+// the work groups.
+
+#include "cassia/base/digest.h"
+#include "cassia/base/log.h"
+#include "cassia/keeper/service.h"
+#include "cassia/state/sharding.h"
+
+#include <algorithm>
+#include <set>
+#include <utility>
+
+namespace cassia::keeper {
+
+namespace {
+using state::control_group;
+// All VMs start within a few hundred ms of each other. After this delay the keepers of every zone
+// have been heard, and the initial members can be spread over the zones.
+constexpr milliseconds candidate_gathering_time(700);
+} // namespace
+
+std::vector<peer_address> service::hello_targets() const {
+    std::set<peer_address> targets;
+    for (const schema::peer_settings& keeper : settings_.cluster().keeper())
+        targets.insert(peer_address(keeper.address()));
+    for (const std::string& seed : settings_.cluster().seed())
+        targets.insert(net::peer_of_seed(seed, settings_.peer_address()));
+    // The seeds may be out of date: control group members may have been replaced since they were
+    // configured.
+    if (uses_seeds()) {
+        const instant now = monotonic_now();
+        for (const std::pair<const std::string, known_keeper>& keeper : keepers_) {
+            if (keeper.second.hello.control() && now - keeper.second.last_seen < keeper_timeout)
+                targets.insert(peer_address(keeper.second.hello.address()));
+        }
+    }
+    if (uses_seeds() && hosts_control()) {
+        for (const consensus::member& member : replicas_.at(control_group)->raft().log().members())
+            targets.insert(peer_address(member.address));
+    }
+    targets.erase(peer_address(settings_.peer_address()));
+    return {targets.begin(), targets.end()};
+}
+
+bool service::is_idle_spare() const {
+    return uses_seeds() && !hosts_control() && work_groups_formed_ &&
+           !replicas_.begin()->second->is_bootstrapped();
+}
+
+schema::keeper_hello service::own_hello(const peer_address& to) const {
+    schema::keeper_hello hello;
+    const bool bootstrapped = replicas_.begin()->second->is_bootstrapped();
+    hello.set_node(node_);
+    hello.set_zone(settings_.zone());
+    hello.set_name(settings_.name());
+    for (const std::pair<const group_id, std::unique_ptr<group_replica>>& replica : replicas_) {
+        if (replica.first == control_group || !replica.second->raft().leads())
+            continue;
+        schema::group_view* view = hello.add_leads();
+        view->set_group(static_cast<std::uint32_t>(replica.first.value()));
+        view->set_term(replica.second->raft().term().value());
+        for (const consensus::member& member : replica.second->raft().log().members())
+            view->add_disks(member.disk.value());
+    }
+    hello.set_disk(recovered_.disk.value());
+    hello.set_address(settings_.peer_address());
+    // If this isn't the cluster's first start, an empty disk may have lost votes and acknowledged
+    // entries, so it must not take part in a bootstrap.
+    hello.set_empty(!bootstrapped && settings_.first_start());
+    hello.set_control(hosts_control());
+    hello.set_work(hosts_work());
+    if (hosts_control() && bootstrapped)
+        *hello.mutable_founders() = consensus::members_to_proto(initial_members_);
+    auto received = received_revisions_.find(to.str());
+    if (received != received_revisions_.end()) {
+        hello.set_directory_epoch(received->second.first);
+        hello.set_directory_revision(received->second.second);
+    }
+    return hello;
+}
+
+void service::record_keeper(const schema::keeper_hello& hello, instant seen) {
+    known_keeper& known = keepers_[hello.node()];
+    if (seen < known.last_seen)
+        return;
+    known.hello = hello;
+    known.last_seen = seen;
+    const keeper_status status{hello.node(), disk_id(hello.disk()), hello.address(), hello.empty(),
+                               seen};
+    if (hello.control() || !uses_seeds())
+        planner_.update(status);
+    if (hello.work())
+        work_planner_.update(status);
+}
+
+void service::send_news(const peer_address& to, const known_keeper& keeper) {
+    const instant now = monotonic_now();
+    schema::envelope envelope;
+    schema::keeper_news* news = envelope.mutable_news();
+    *news->mutable_self() = own_hello(to);
+    *news->mutable_work_founders() = control_state_.work_founders();
+    for (const schema::retire_command& command : control_state_.retiring())
+        news->add_retiring_disks(command.disk());
+    const std::set<std::uint64_t> members = work_group_disks(now);
+    const bool spare = is_spare(keeper.hello, members);
+    for (const std::pair<const std::string, known_keeper>& other : keepers_) {
+        const microseconds age = now - other.second.last_seen;
+        if (age >= keeper_timeout || other.first == keeper.hello.node())
+            continue;
+        // A spare needs no news of the other spares, which may be many.
+        if (spare && is_spare(other.second.hello, members))
+            continue;
+        schema::keeper_hello* added = news->add_keepers();
+        *added = other.second.hello;
+        added->clear_founders();
+        added->set_age_ms(
+            added->age_ms() +
+            static_cast<std::uint32_t>(std::chrono::duration_cast<milliseconds>(age).count()));
+    }
+    if (keeper.hello.control()) {
+        write_endpoints(keeper.hello, *news, true);
+        write_sightings(*news);
+    }
+    hub_->send(to, envelope);
+}
+
+// A gateway sends most of its heartbeats to the keeper that it follows. That keeper passes on that
+// it is alive, so that all keepers give callers the same list of gateways.
+void service::write_sightings(schema::keeper_news& news) const {
+    const instant now = monotonic_now();
+    for (const std::pair<const std::string, known_gateway>& gateway : gateways_) {
+        const microseconds age = now - gateway.second.last_heartbeat;
+        if (!gateway.second.hello.follows() || age >= gateway_timeout)
+            continue;
+        schema::entry_sighting* sighting = news.add_entries();
+        sighting->set_entry(gateway.first);
+        sighting->set_incarnation(gateway.second.hello.incarnation());
+        sighting->set_draining(gateway.second.hello.draining());
+        sighting->set_age_ms(
+            static_cast<std::uint32_t>(std::chrono::duration_cast<milliseconds>(age).count()));
+    }
+}
+
+void service::merge_sightings(const schema::keeper_news& news, instant now) {
+    for (const schema::entry_sighting& sighting : news.entries()) {
+        auto found = gateways_.find(sighting.entry());
+        const bool same_incarnation =
+            found != gateways_.end() && found->second.hello.incarnation() == sighting.incarnation();
+        const instant seen = now - milliseconds(sighting.age_ms());
+        if (!same_incarnation || seen <= found->second.last_seen)
+            continue;
+        found->second.last_seen = seen;
+        found->second.hello.set_draining(sighting.draining());
+        roster_.saw(found->second.hello, seen);
+    }
+}
+
+void service::on_news(const schema::keeper_news& news) {
+    const instant now = monotonic_now();
+    record_keeper(news.self(), now);
+    for (const schema::keeper_hello& hello : news.keepers()) {
+        if (hello.node() != node_)
+            record_keeper(hello, now - milliseconds(hello.age_ms()));
+    }
+    if (hosts_work()) {
+        std::set<disk_id> retiring;
+        for (const std::uint64_t disk : news.retiring_disks())
+            retiring.insert(disk_id(disk));
+        // A retirement is never revoked, so the longest list is the latest.
+        if (retiring.size() >= known_retiring_) {
+            known_retiring_ = retiring.size();
+            work_planner_.set_retiring(std::move(retiring));
+        }
+        if (news.work_founders().members_size() > 0)
+            bootstrap_work_groups(news.work_founders());
+    }
+    if (!hosts_control())
+        return;
+    bool changed = false;
+    for (const schema::endpoint_record& record : news.endpoints())
+        changed = directory_.told(record, now) || changed;
+    for (const schema::endpoint_pulse& pulse : news.pulses())
+        directory_.told(pulse, now);
+    merge_sightings(news, now);
+    received_revisions_[news.self().address()] = {news.directory_epoch(),
+                                                  news.directory_revision()};
+    if (!changed)
+        return;
+    // The other keeper may have to wait until this one has an endpoint's announcement before it
+    // acknowledges that.
+    send_keeper_hello(peer_address(news.self().address()));
+    schedule_beacon_push();
+}
+
+void service::push_news() {
+    for (const std::pair<const std::string, known_keeper>& keeper : keepers_) {
+        if (monotonic_now() - keeper.second.last_seen < keeper_timeout)
+            send_news(peer_address(keeper.second.hello.address()), keeper.second);
+    }
+}
+
+// Spreads the members over availability zones, so that a majority survives the loss of one.
+static std::vector<schema::keeper_hello>
+spread_over_zones(std::vector<schema::keeper_hello> candidates, std::size_t count) {
+    std::vector<schema::keeper_hello> chosen;
+    std::map<std::string, int> chosen_per_zone;
+    while (chosen.size() < count && !candidates.empty()) {
+        auto next = std::min_element(
+            candidates.begin(), candidates.end(),
+            [&chosen_per_zone](const schema::keeper_hello& a, const schema::keeper_hello& b) {
+                return std::make_pair(chosen_per_zone[a.zone()], a.node()) <
+                       std::make_pair(chosen_per_zone[b.zone()], b.node());
+            });
+        ++chosen_per_zone[next->zone()];
+        chosen.push_back(*next);
+        candidates.erase(next);
+    }
+    return chosen;
+}
+
+void service::propose_work_group_members() {
+    if (!uses_seeds() || control_state_.work_founders().members_size() > 0)
+        return;
+    const instant now = monotonic_now();
+    std::vector<schema::keeper_hello> candidates;
+    for (const std::pair<const std::string, known_keeper>& keeper : keepers_) {
+        if (keeper.second.hello.work() && keeper.second.hello.empty() &&
+            now - keeper.second.last_seen < keeper_timeout)
+            candidates.push_back(keeper.second.hello);
+    }
+    if (candidates.size() < group_size()) {
+        enough_candidates_since_ = instant();
+        return;
+    }
+    if (enough_candidates_since_ == instant())
+        enough_candidates_since_ = now;
+    if (now - enough_candidates_since_ < candidate_gathering_time)
+        return;
+    consensus::member_list members;
+    for (const schema::keeper_hello& keeper : spread_over_zones(candidates, group_size()))
+        members.push_back({disk_id(keeper.disk()), keeper.node(), keeper.address(), true});
+    schema::control_command command;
+    *command.mutable_found_work()->mutable_founders() = consensus::members_to_proto(members);
+    replicas_.at(control_group)
+        ->propose(
+            command.SerializeAsString(), [](const schema::keeper_reply&) {}, now);
+}
+
+void service::bootstrap_work_groups(const schema::group_members& proto) {
+    work_groups_formed_ = true;
+    const consensus::member_list members = consensus::members_from_proto(proto);
+    std::vector<std::string> nodes;
+    for (const consensus::member& member : members)
+        nodes.push_back(member.node);
+    work_planner_.set_initial_nodes(std::move(nodes));
+    const bool is_initial_member =
+        std::any_of(members.begin(), members.end(), [this](const consensus::member& member) {
+            return member.disk == recovered_.disk;
+        });
+    if (!is_initial_member || replicas_.begin()->second->is_bootstrapped())
+        return;
+    initial_members_ = members;
+    for (const std::pair<const group_id, std::unique_ptr<group_replica>>& replica : replicas_)
+        replica.second->bootstrap(initial_members_, monotonic_now());
+    write_initial_snapshots();
+    log_info("work_groups_founded").with("members", initial_members_.size());
+}
+
+bool service::is_spare(const schema::keeper_hello& hello, const std::set<std::uint64_t>& members) {
+    return !hello.control() && !members.empty() && members.count(hello.disk()) == 0;
+}
+
+// As last reported by the leaders of the groups. If none has reported recently, the initial
+// members, since some of them may still be members.
+std::set<std::uint64_t> service::work_group_disks(instant now) const {
+    std::set<std::uint64_t> disks;
+    for (const std::pair<const std::string, known_keeper>& keeper : keepers_) {
+        if (now - keeper.second.last_seen >= keeper_timeout)
+            continue;
+        for (const schema::group_view& view : keeper.second.hello.leads())
+            disks.insert(view.disks().begin(), view.disks().end());
+    }
+    if (disks.empty()) {
+        for (const schema::group_member& member : control_state_.work_founders().members())
+            disks.insert(member.disk());
+    }
+    return disks;
+}
+
+std::uint64_t service::compute_keepers_digest() const {
+    std::string members_text;
+    const instant now = monotonic_now();
+    const std::set<std::uint64_t> disks = work_group_disks(now);
+    for (const std::pair<const std::string, known_keeper>& keeper : keepers_) {
+        const schema::keeper_hello& hello = keeper.second.hello;
+        const bool in_group = disks.count(hello.disk()) > 0;
+        if (now - keeper.second.last_seen < keeper_timeout && (hello.control() || in_group))
+            members_text += hello.address() + (hello.control() ? "c" : "") +
+                            (hello.work() ? "w" : "") + (in_group ? "g" : "") + " ";
+    }
+    return stable_hash(members_text);
+}
+
+} // namespace cassia::keeper
