--- a/include/cassia/state/work_state.h
+++ b/include/cassia/state/work_state.h
@@ -121,7 +121,7 @@
     /// Answers a question of a caller. Bodies are fetched with `read`.
     schema::work_reply query(const schema::work_query& query, const record_reader& read) const;
     /// Completes the reply of a lease with the bodies of the items.
-    result<void> fill_leased(schema::work_reply& reply, const record_reader& read) const;
+    result<void> fill_leased_items(schema::work_reply& reply, const record_reader& read) const;
     /// Completes the reply of a key claim with the stored answer.
     result<void> fill_answer(schema::work_reply& reply, const std::string& team,
                              const std::string& key, const record_reader& read) const;
@@ -136,9 +136,9 @@
     bool has_expired(std::uint64_t at) const;
 
     /// Records that the state refers to.
-    std::set<storage::position> positions() const;
+    std::set<storage::position> referenced_positions() const;
     /// Replaces the positions by those of a copy in another log.
-    void translate(const std::map<storage::position, storage::position>& places);
+    void remap_positions(const std::map<storage::position, storage::position>& places);
 
     std::string save() const;
     static result<work_state> load(const std::string& image);
@@ -193,6 +193,6 @@
 };
 
 /// Fills what callers see of a job.
-void write_view(const batch_job& job, schema::job_view& view);
+void fill_job_view(const batch_job& job, schema::job_view& view);
 
 } // namespace cassia::state
--- a/lib/keeper/service.cpp
+++ b/lib/keeper/service.cpp
@@ -183,10 +183,10 @@
         if (!loaded)
             return false;
         group.state = std::move(loaded.value());
-        group.state.translate(places);
+        group.state.remap_positions(places);
         return true;
     };
-    machine.positions = [&group] { return group.state.positions(); };
+    machine.positions = [&group] { return group.state.referenced_positions(); };
     return machine;
 }
 
--- a/lib/keeper/work_leader.cpp
+++ b/lib/keeper/work_leader.cpp
@@ -121,7 +121,7 @@
             if (--*open > 0)
                 return;
             const state::result<void> filled =
-                state_.fill_leased(*gathered->mutable_work(), hooks_.read);
+                state_.fill_leased_items(*gathered->mutable_work(), hooks_.read);
             if (!filled) {
                 log_error("lease_failed").with("cause", filled.error().text);
                 gathered->set_result(schema::keeper_reply::unavailable);
@@ -224,7 +224,7 @@
         }
         schema::keeper_reply answer;
         if (job != state_.jobs().end())
-            state::write_view(job->second, *answer.mutable_work()->mutable_job());
+            state::fill_job_view(job->second, *answer.mutable_work()->mutable_job());
         one.reply(std::move(answer));
     }
     cancels_ = std::move(waiting);
--- a/lib/state/job_commands.cpp
+++ b/lib/state/job_commands.cpp
@@ -26,7 +26,7 @@
 
 static schema::work_reply view_of(const batch_job& job) {
     schema::work_reply reply;
-    write_view(job, *reply.mutable_job());
+    fill_job_view(job, *reply.mutable_job());
     return reply;
 }
 
--- a/lib/state/work_query.cpp
+++ b/lib/state/work_query.cpp
@@ -135,7 +135,7 @@
         for (const std::pair<const job_id, batch_job>& one : jobs_) {
             const bool own = one.second.team.str() == query.team();
             if (own && one.second.status != job_status::loading)
-                write_view(one.second, *reply.add_jobs());
+                fill_job_view(one.second, *reply.add_jobs());
         }
         return reply;
     }
@@ -147,7 +147,7 @@
         return reply;
     }
     const batch_job& job = found->second;
-    write_view(job, *reply.mutable_job());
+    fill_job_view(job, *reply.mutable_job());
     command_cache bodies(read);
     command_cache results(read);
     if (query.kind() == schema::work_query::results)
@@ -173,7 +173,8 @@
     return reply;
 }
 
-result<void> work_state::fill_leased(schema::work_reply& reply, const record_reader& read) const {
+result<void> work_state::fill_leased_items(schema::work_reply& reply,
+                                           const record_reader& read) const {
     command_cache bodies(read);
     command_cache results(read);
     for (schema::leased_item& leased : *reply.mutable_leased()) {
--- a/lib/state/work_state.cpp
+++ b/lib/state/work_state.cpp
@@ -36,7 +36,7 @@
     return "failed";
 }
 
-void write_view(const batch_job& job, schema::job_view& view) {
+void fill_job_view(const batch_job& job, schema::job_view& view) {
     view.set_job(job.id.str());
     view.set_team(job.team.str());
     view.set_status(job_status_name(job.status));
@@ -115,7 +115,7 @@
                               });
 }
 
-std::set<storage::position> work_state::positions() const {
+std::set<storage::position> work_state::referenced_positions() const {
     std::set<storage::position> places;
     for (const std::pair<const job_id, batch_job>& one : jobs_) {
         for (const batch_item& item : one.second.items) {
@@ -129,7 +129,7 @@
     return places;
 }
 
-void work_state::translate(const std::map<storage::position, storage::position>& places) {
+void work_state::remap_positions(const std::map<storage::position, storage::position>& places) {
     const auto move_to = [&places](storage::position& place) {
         auto found = places.find(place);
         if (found != places.end())
