--- a/include/cassia/consensus/raft_group.h
+++ b/include/cassia/consensus/raft_group.h
@@ -23,7 +23,7 @@
 struct raft_settings {
     milliseconds heartbeat{100};
     milliseconds election_timeout{700}; ///< least silence before an election; the most is twice it
-    std::size_t append_bytes = 1 << 20; ///< most bytes of entries in one message
+    std::size_t max_append_bytes = 1 << 20; ///< most bytes of entries in one message
 };
 
 /// What a member must find again after a restart.
@@ -37,14 +37,14 @@
 /// What the driver has to do, in this order: persist, send what may go at once, send the rest once
 /// it is synced, apply.
 struct raft_actions {
-    std::optional<vote_state> vote;              ///< to persist
-    std::optional<std::uint64_t> cut_after;      ///< to persist before `append`
-    std::vector<entry_pointer> append;           ///< to persist
-    std::vector<schema::raft_message> now;       ///< promises nothing
-    std::vector<schema::raft_message> synced;    ///< only once all before it is on disk
-    std::vector<entry_pointer> committed;        ///< to apply
-    std::vector<disk_id> need_snapshot;          ///< members that the log can't bring up to date
-    std::vector<schema::raft_message> snapshots; ///< parts received, for the driver
+    std::optional<vote_state> vote;                        ///< to persist
+    std::optional<std::uint64_t> truncate_after;           ///< to persist before `new_entries`
+    std::vector<log_entry_ptr> new_entries;                ///< to persist
+    std::vector<schema::raft_message> immediate_messages;  ///< promises nothing
+    std::vector<schema::raft_message> messages_after_sync; ///< only once all before it is on disk
+    std::vector<log_entry_ptr> committed_entries;          ///< to apply
+    std::vector<disk_id> members_needing_snapshot; ///< members that the log can't bring up to date
+    std::vector<schema::raft_message> snapshot_messages; ///< parts received, for the driver
 };
 
 enum class raft_role { learner, follower, candidate, leader };
@@ -67,11 +67,11 @@
     /// A snapshot of the state at `index` is durable: the log may forget what it covers.
     void compact(std::uint64_t index);
     /// A snapshot from the leader is durable and applied.
-    void installed(log_base base, instant now);
+    void snapshot_installed(log_base base, instant now);
     /// A member holds everything up to `index`, by a snapshot.
-    void member_restored(disk_id member, std::uint64_t index, instant now);
+    void snapshot_delivered(disk_id member, std::uint64_t index, instant now);
     /// Hands leadership to the voter that is furthest ahead; used on shutdown.
-    void hand_over(instant now);
+    void transfer_leadership(instant now);
 
     raft_actions take_actions();
 
--- a/include/cassia/consensus/raft_log.h
+++ b/include/cassia/consensus/raft_log.h
@@ -36,7 +36,7 @@
     member_list members;
 };
 
-using entry_pointer = std::shared_ptr<const schema::log_entry>;
+using log_entry_ptr = std::shared_ptr<const schema::log_entry>;
 
 class raft_log {
 public:
@@ -48,12 +48,12 @@
     /// The term of an entry between base_index() and last_index().
     term_number term_at(std::uint64_t index) const;
     bool holds(std::uint64_t index, term_number term) const;
-    const entry_pointer& at(std::uint64_t index) const;
+    const log_entry_ptr& at(std::uint64_t index) const;
 
     /// Adds the entry behind the last one.
-    void append(entry_pointer entry);
+    void append(log_entry_ptr entry);
     /// Drops the entries behind `index`.
-    void cut_after(std::uint64_t index);
+    void truncate_after(std::uint64_t index);
     /// Forgets the entries up to `index`, which a snapshot covers.
     void compact(std::uint64_t index);
     /// Starts anew from a snapshot that came from the leader.
@@ -68,7 +68,7 @@
 
 private:
     log_base base_;
-    std::deque<entry_pointer> entries_;
+    std::deque<log_entry_ptr> entries_;
     std::vector<std::pair<std::uint64_t, member_list>> changes_;
 };
 
--- a/include/cassia/entry/control_task.h
+++ b/include/cassia/entry/control_task.h
@@ -88,9 +88,9 @@
     net::task task_;
     std::unique_ptr<net::peer_hub> hub_;
     keeper_client keepers_;
-    membership::directory directory_;
+    membership::endpoint_directory directory_;
     membership::entry_list entries_;
-    membership::freshness freshness_;
+    membership::beacon_freshness freshness_;
     policy::strike_list strikes_;
     schema::change_record config_;
     std::shared_ptr<const settings::catalog> catalog_;
--- a/include/cassia/gateway/fleet_link.h
+++ b/include/cassia/gateway/fleet_link.h
@@ -114,7 +114,7 @@
     std::map<group_id, peer_address> leaders_;
     membership::followed_keeper followed_;
     membership::roster_copy roster_;
-    membership::directory directory_;
+    membership::endpoint_directory directory_;
     std::vector<policy::slot_endpoint> published_; ///< endpoints as last handed over
     std::uint64_t published_changes_ = 0;          ///< of the directory at that time
     instant published_at_{};
--- a/include/cassia/keeper/endpoint_file.h
+++ b/include/cassia/keeper/endpoint_file.h
@@ -9,9 +9,10 @@
 
 namespace cassia::keeper {
 
-std::string encode_endpoints(const membership::directory& known, instant now);
+std::string encode_endpoints(const membership::endpoint_directory& known, instant now);
 /// Adds what was written. Endpoints that don't announce themselves soon get no work after that.
 /// \returns how many; nothing is added of a content that can't be read.
-std::size_t decode_endpoints(membership::directory& known, const std::string& content, instant now);
+std::size_t decode_endpoints(membership::endpoint_directory& known, const std::string& content,
+                             instant now);
 
 } // namespace cassia::keeper
--- a/include/cassia/keeper/group_host.h
+++ b/include/cassia/keeper/group_host.h
@@ -83,7 +83,7 @@
     };
 
     void write_actions(consensus::raft_actions& actions, awaiting_sync& awaiting);
-    void apply(const consensus::entry_pointer& entry);
+    void apply(const consensus::log_entry_ptr& entry);
     void fail_pending();
     void maybe_snapshot(instant now);
     void write_snapshot(const std::shared_ptr<schema::group_snapshot>& snapshot,
--- a/include/cassia/keeper/service.h
+++ b/include/cassia/keeper/service.h
@@ -223,7 +223,7 @@
     bool pump_scheduled_ = false;
     std::map<std::string, known_entry> entries_;
     std::map<std::string, known_keeper> keepers_; ///< by node
-    membership::directory directory_;
+    membership::endpoint_directory directory_;
     const std::uint64_t directory_epoch_;
     membership::entry_roster roster_;
     std::map<std::string, std::pair<std::uint64_t, std::uint64_t>>
--- a/include/cassia/keeper/store.h
+++ b/include/cassia/keeper/store.h
@@ -21,7 +21,7 @@
 struct recovered_group {
     std::shared_ptr<schema::group_snapshot> snapshot;
     consensus::vote_state vote;
-    std::deque<consensus::entry_pointer> entries; ///< behind the snapshot
+    std::deque<consensus::log_entry_ptr> entries; ///< behind the snapshot
     std::deque<storage::position> positions;      ///< of those entries
 };
 
--- a/include/cassia/membership/directory.h
+++ b/include/cassia/membership/directory.h
@@ -11,37 +11,37 @@
 
 namespace cassia::membership {
 
-struct directory_settings {
+struct endpoint_directory_settings {
     milliseconds silent_after{3000}; ///< no announcement: no new work
     milliseconds forget_after{60000};
 };
 
 /// An endpoint as last announced.
-struct endpoint_entry {
+struct endpoint_state {
     schema::endpoint_record record;
-    instant heard{};              ///< when it last announced itself to any entry
+    instant last_heard{};         ///< when it last announced itself to any entry
     instant own_heard{};          ///< when it last announced itself to this one
     bool leaving = false;         ///< once set it holds for the incarnation
     std::uint64_t changed_at = 0; ///< revision of the directory when more than its load changed
     std::uint64_t heard_at = 0;   ///< revision of the directory when it was last heard
 };
 
-class directory {
+class endpoint_directory {
 public:
-    explicit directory(directory_settings settings) : settings_(settings) {}
+    explicit endpoint_directory(endpoint_directory_settings settings) : settings_(settings) {}
 
     /// The endpoint announced itself to this entry. \returns whether anything but its load changed.
-    bool announced(const schema::endpoint_record& record, instant now);
+    bool merge_announcement(const schema::endpoint_record& record, instant now);
     /// Another entry heard the endpoint, `record.age_ms` before it sent this.
-    bool told(const schema::endpoint_record& record, instant now);
+    bool merge_remote(const schema::endpoint_record& record, instant now);
     /// Another entry heard the endpoint again, `pulse.age_ms` before it sent this.
-    void told(const schema::endpoint_pulse& pulse, instant now);
+    void merge_remote(const schema::endpoint_pulse& pulse, instant now);
 
     /// Endpoints that may get new work.
-    std::vector<const endpoint_entry*> serving(instant now) const;
+    std::vector<const endpoint_state*> serving(instant now) const;
     /// What this entry heard itself, with ages, to tell the others.
-    std::vector<schema::endpoint_record> own_records(instant now) const;
-    const std::map<endpoint_id, endpoint_entry>& all() const { return endpoints_; }
+    std::vector<schema::endpoint_record> directly_heard_records(instant now) const;
+    const std::map<endpoint_id, endpoint_state>& all() const { return endpoints_; }
     /// Counts up with each change of an entry, and each time that one is heard.
     std::uint64_t revision() const { return revision_; }
     /// Counts up with changes only.
@@ -57,12 +57,12 @@
 
 private:
     bool merge(const schema::endpoint_record& record, instant heard);
-    void store(endpoint_entry& entry, const schema::endpoint_record& record, instant heard);
-    void note_change(endpoint_entry& entry);
+    void store(endpoint_state& entry, const schema::endpoint_record& record, instant heard);
+    void note_change(endpoint_state& entry);
     void end_predecessors(const schema::endpoint_record& record);
 
-    directory_settings settings_;
-    std::map<endpoint_id, endpoint_entry> endpoints_;
+    endpoint_directory_settings settings_;
+    std::map<endpoint_id, endpoint_state> endpoints_;
     std::uint64_t revision_ = 0;
     std::uint64_t changes_ = 0;
 };
--- a/include/cassia/membership/entry_list.h
+++ b/include/cassia/membership/entry_list.h
@@ -15,12 +15,12 @@
     explicit entry_list(milliseconds silent_after) : silent_after_(silent_after) {}
 
     /// \param age how long ago the entry itself said so.
-    void saw(const schema::entry_hello& hello, milliseconds age, instant now);
+    void observe(const schema::entry_hello& hello, milliseconds age, instant now);
 
     /// Entries that live: neither silent nor superseded by a later incarnation.
     std::vector<const schema::entry_hello*> alive(instant now) const;
     /// Those of them that take new requests.
-    std::vector<const schema::entry_hello*> open(instant now) const;
+    std::vector<const schema::entry_hello*> accepting(instant now) const;
     /// Counts up when the open ones change.
     std::uint64_t version(instant now);
 
--- a/include/cassia/membership/entry_roster.h
+++ b/include/cassia/membership/entry_roster.h
@@ -20,9 +20,9 @@
     entry_roster(std::uint64_t epoch, milliseconds silent_after)
         : epoch_(epoch), silent_after_(silent_after) {}
 
-    void saw(const schema::entry_hello& hello, instant now);
+    void observe(const schema::entry_hello& hello, instant now);
     /// Notes who fell silent.
-    void refresh(instant now);
+    void mark_lost(instant now);
     std::uint64_t revision() const { return revision_; }
     /// Writes what a listener lacks that has this list up to a revision.
     void write(std::uint64_t epoch, std::uint64_t revision, schema::keeper_beacon& beacon,
@@ -54,7 +54,7 @@
     /// What the source is told, so that it sends what is missing.
     void write(schema::entry_hello& hello) const;
     /// \returns whether the list changed.
-    bool learn(const peer_address& keeper, const schema::keeper_beacon& beacon);
+    bool apply_beacon(const peer_address& keeper, const schema::keeper_beacon& beacon);
     const std::map<entry_id, schema::entry_hello>& entries() const { return entries_; }
 
 private:
--- a/include/cassia/membership/followed_keeper.h
+++ b/include/cassia/membership/followed_keeper.h
@@ -17,7 +17,7 @@
         : self_(std::move(self)), zone_(std::move(zone)) {}
 
     /// A keeper answered. \param in_touch whether it hears the leader of its group.
-    void heard(const peer_address& keeper, bool in_touch, instant now);
+    void record_reply(const peer_address& keeper, bool in_touch, instant now);
     void set_zone(const peer_address& keeper, zone_id zone);
     void forget(const peer_address& keeper);
     /// The keeper to follow now; one out of touch if there is no other; empty if none was heard.
@@ -29,7 +29,7 @@
     struct candidate {
         zone_id zone;
         bool in_touch = false;
-        instant heard{};
+        instant last_reply{};
         instant avoided_until{};
     };
 
--- a/include/cassia/membership/freshness.h
+++ b/include/cassia/membership/freshness.h
@@ -12,12 +12,12 @@
 
 namespace cassia::membership {
 
-class freshness {
+class beacon_freshness {
 public:
-    explicit freshness(milliseconds stale_after) : stale_after_(stale_after) {}
+    explicit beacon_freshness(milliseconds stale_after) : stale_after_(stale_after) {}
 
     /// \param age how long ago whoever tells this saw the beacon first.
-    void saw(std::uint64_t term, std::uint64_t beacon, milliseconds age, instant now);
+    void observe(std::uint64_t term, std::uint64_t beacon, milliseconds age, instant now);
     bool is_stale(instant now) const;
 
     std::uint64_t term() const { return newest_.first; }
--- a/lib/consensus/raft_election.cpp
+++ b/lib/consensus/raft_election.cpp
@@ -64,7 +64,7 @@
         request.set_index_term(log_.last_term().value());
         request.set_forced(cause == election_cause::handover);
         request.set_restart(cause == election_cause::restart);
-        actions_.synced.push_back(std::move(request));
+        actions_.messages_after_sync.push_back(std::move(request));
     }
 }
 
@@ -132,7 +132,7 @@
     reply.set_term(preliminary && granted ? term.value() : vote_.term.value());
     reply.set_reject(!granted);
     reply.set_restart(message.restart());
-    actions_.synced.push_back(std::move(reply));
+    actions_.messages_after_sync.push_back(std::move(reply));
 }
 
 void raft_group::receive_vote_reply(const schema::raft_message& message, instant now) {
@@ -186,7 +186,7 @@
     reset_election_timer(now);
 }
 
-void raft_group::hand_over(instant now) {
+void raft_group::transfer_leadership(instant now) {
     if (role_ != raft_role::leader)
         return;
     disk_id best;
@@ -198,7 +198,8 @@
         best_match = one.second.match;
     }
     if (best != disk_id() && best_match == log_.last_index())
-        actions_.now.push_back(make_message(schema::raft_message::timeout_now, best));
+        actions_.immediate_messages.push_back(
+            make_message(schema::raft_message::timeout_now, best));
 }
 
 } // namespace cassia::consensus
--- a/lib/consensus/raft_group.cpp
+++ b/lib/consensus/raft_group.cpp
@@ -66,7 +66,7 @@
         if (message.kind() == kind::append || message.kind() == kind::snapshot) {
             schema::raft_message reply = make_message(kind::append_reply, disk_id(message.from()));
             reply.set_reject(true);
-            actions_.synced.push_back(std::move(reply));
+            actions_.messages_after_sync.push_back(std::move(reply));
         }
         return;
     }
@@ -82,11 +82,11 @@
         break;
     case kind::snapshot:
         become_follower(term, disk_id(message.from()), now);
-        actions_.snapshots.push_back(message);
+        actions_.snapshot_messages.push_back(message);
         break;
     case kind::snapshot_reply:
         if (role_ == raft_role::leader)
-            actions_.snapshots.push_back(message);
+            actions_.snapshot_messages.push_back(message);
         break;
     case kind::timeout_now:
         if (is_voter(self_))
--- a/lib/consensus/raft_log.cpp
+++ b/lib/consensus/raft_log.cpp
@@ -44,12 +44,12 @@
     return term_at(index) == term;
 }
 
-const entry_pointer& raft_log::at(std::uint64_t index) const {
+const log_entry_ptr& raft_log::at(std::uint64_t index) const {
     assert(index > base_.index && index <= last_index() && "entry is not in the log");
     return entries_[index - base_.index - 1];
 }
 
-void raft_log::append(entry_pointer entry) {
+void raft_log::append(log_entry_ptr entry) {
     assert(entry->index() == last_index() + 1 && "log entries must be consecutive");
     if (entry->kind() == schema::log_entry::members) {
         schema::group_members named;
@@ -59,7 +59,7 @@
     entries_.push_back(std::move(entry));
 }
 
-void raft_log::cut_after(std::uint64_t index) {
+void raft_log::truncate_after(std::uint64_t index) {
     assert(index >= base_.index && "a snapshot covers committed entries only");
     while (last_index() > index)
         entries_.pop_back();
--- a/lib/consensus/raft_replication.cpp
+++ b/lib/consensus/raft_replication.cpp
@@ -38,9 +38,9 @@
 void raft_group::append_own(schema::log_entry entry) {
     entry.set_index(log_.last_index() + 1);
     entry.set_term(vote_.term.value());
-    entry_pointer added = std::make_shared<const schema::log_entry>(std::move(entry));
+    log_entry_ptr added = std::make_shared<const schema::log_entry>(std::move(entry));
     log_.append(added);
-    actions_.append.push_back(std::move(added));
+    actions_.new_entries.push_back(std::move(added));
 }
 
 // Members come and go with the log's entries; progress is kept for those in force.
@@ -77,7 +77,7 @@
     peer.last_sent = now;
     if (peer.next <= log_.base_index() && !peer.snapshot) {
         peer.snapshot = true;
-        actions_.need_snapshot.push_back(to);
+        actions_.members_needing_snapshot.push_back(to);
     }
     // While a snapshot travels the member still gets heartbeats, which keep it from an election.
     const std::uint64_t previous = peer.snapshot ? log_.base_index() : peer.next - 1;
@@ -94,8 +94,8 @@
     std::size_t bytes = 0;
     std::uint64_t next = peer.next;
     while (!peer.snapshot && !silent && !full && next <= log_.last_index() &&
-           bytes < settings_.append_bytes) {
-        const entry_pointer& entry = log_.at(next);
+           bytes < settings_.max_append_bytes) {
+        const log_entry_ptr& entry = log_.at(next);
         bytes += entry->payload().size();
         *message.add_entries() = *entry;
         ++next;
@@ -105,7 +105,7 @@
         peer.next = next;
     // The leader's own disk writes meanwhile: its copy counts towards the quorum only once synced,
     // so sending early promises nothing.
-    actions_.now.push_back(std::move(message));
+    actions_.immediate_messages.push_back(std::move(message));
 }
 
 void raft_group::receive_append(const schema::raft_message& message, instant now) {
@@ -128,7 +128,7 @@
         }
         reply.set_reject(true);
         reply.set_index(log_.members().empty() ? 0 : hint);
-        actions_.synced.push_back(std::move(reply));
+        actions_.messages_after_sync.push_back(std::move(reply));
         return;
     }
     accept_entries(message);
@@ -137,7 +137,7 @@
     commit_ = std::max(commit_, std::min(message.commit(), matched));
     release_committed();
     reply.set_index(matched);
-    actions_.synced.push_back(std::move(reply));
+    actions_.messages_after_sync.push_back(std::move(reply));
 }
 
 void raft_group::accept_entries(const schema::raft_message& message) {
@@ -147,18 +147,18 @@
             continue;
         if (entry.index() <= log_.last_index()) {
             const std::uint64_t keep = entry.index() - 1;
-            log_.cut_after(keep);
+            log_.truncate_after(keep);
             stable_ = std::min(stable_, keep);
-            actions_.cut_after = std::min(actions_.cut_after.value_or(keep), keep);
-            std::vector<entry_pointer>& pending = actions_.append;
+            actions_.truncate_after = std::min(actions_.truncate_after.value_or(keep), keep);
+            std::vector<log_entry_ptr>& pending = actions_.new_entries;
             pending.erase(
                 std::remove_if(pending.begin(), pending.end(),
-                               [keep](const entry_pointer& one) { return one->index() > keep; }),
+                               [keep](const log_entry_ptr& one) { return one->index() > keep; }),
                 pending.end());
         }
-        entry_pointer added = std::make_shared<const schema::log_entry>(entry);
+        log_entry_ptr added = std::make_shared<const schema::log_entry>(entry);
         log_.append(added);
-        actions_.append.push_back(std::move(added));
+        actions_.new_entries.push_back(std::move(added));
     }
 }
 
@@ -235,7 +235,7 @@
     const std::uint64_t last = std::min(commit_, stable_);
     while (applied_ < last) {
         ++applied_;
-        actions_.committed.push_back(log_.at(applied_));
+        actions_.committed_entries.push_back(log_.at(applied_));
     }
 }
 
@@ -244,19 +244,19 @@
         log_.compact(index);
 }
 
-void raft_group::installed(log_base base, instant now) {
+void raft_group::snapshot_installed(log_base base, instant now) {
     const std::uint64_t index = base.index;
     log_.reset(std::move(base));
     commit_ = index;
     applied_ = index;
     stable_ = index;
-    actions_.append.clear();
-    actions_.committed.clear();
+    actions_.new_entries.clear();
+    actions_.committed_entries.clear();
     role_ = is_voter(self_) ? raft_role::follower : raft_role::learner;
     reset_election_timer(now);
 }
 
-void raft_group::member_restored(disk_id member, std::uint64_t index, instant now) {
+void raft_group::snapshot_delivered(disk_id member, std::uint64_t index, instant now) {
     auto found = progress_.find(member);
     if (found == progress_.end())
         return;
--- a/lib/entry/control_task.cpp
+++ b/lib/entry/control_task.cpp
@@ -29,7 +29,7 @@
       keepers_(
           keeper_addresses(settings),
           [this](const peer_address& to, schema::envelope& message) { hub_->send(to, message); }),
-      directory_(membership::directory_settings()), entries_(others_silent_after),
+      directory_(membership::endpoint_directory_settings()), entries_(others_silent_after),
       freshness_(milliseconds(settings.stale_after_ms())), strikes_(policy::strike_memory) {}
 
 control_task::~control_task() {
@@ -74,7 +74,7 @@
 
 void control_task::announced(schema::endpoint_record record) {
     task_.post([this, record = std::move(record)] {
-        const bool changed = directory_.announced(record, monotonic_now());
+        const bool changed = directory_.merge_announcement(record, monotonic_now());
         if (!changed)
             return;
         log_info("endpoint_changed")
@@ -137,7 +137,7 @@
 void control_task::set_draining() {
     task_.post([this] {
         draining_ = true;
-        entries_.saw(make_hello(), milliseconds(0), monotonic_now());
+        entries_.observe(make_hello(), milliseconds(0), monotonic_now());
         publish_view();
         send_hellos();
         send_gossip();
@@ -175,8 +175,8 @@
     // frozen finds old beacons in its sockets; counted as new they would make it trust its lists.
     const microseconds age = now - from_us(beacon.sent_at_us());
     if (beacon.leads_control())
-        freshness_.saw(beacon.beacon_term(), beacon.beacon(),
-                       std::chrono::duration_cast<milliseconds>(age), now);
+        freshness_.observe(beacon.beacon_term(), beacon.beacon(),
+                           std::chrono::duration_cast<milliseconds>(age), now);
     for (const std::uint32_t group : beacon.leads()) {
         keepers_.leads(group_id(group), beacon.keeper());
         instant& contact = leader_contacts_[group_id(group)];
@@ -186,7 +186,7 @@
     if (beacon.leads_control())
         keepers_.leads(group_id(0), beacon.keeper());
     for (const schema::entry_hello& entry : beacon.entries())
-        entries_.saw(entry, milliseconds(entry.age_ms()), now);
+        entries_.observe(entry, milliseconds(entry.age_ms()), now);
     if (beacon.has_config())
         take_config(beacon.config());
     std::vector<job_id> cancelled;
@@ -228,15 +228,16 @@
         return;
     other.rumor = rumor;
     other.heard = now;
-    entries_.saw(rumor.self(), milliseconds(0), now);
+    entries_.observe(rumor.self(), milliseconds(0), now);
     bool changed = false;
     for (const schema::endpoint_record& record : rumor.endpoints())
-        changed = directory_.told(record, now) || changed;
+        changed = directory_.merge_remote(record, now) || changed;
     for (const schema::strike_record& one : rumor.strikes())
         changed = strikes_.add({fingerprint(one.fingerprint()), endpoint_id(one.endpoint()),
                                 now - milliseconds(one.age_ms())}) ||
                   changed;
-    freshness_.saw(rumor.beacon_term(), rumor.beacon(), milliseconds(rumor.beacon_age_ms()), now);
+    freshness_.observe(rumor.beacon_term(), rumor.beacon(), milliseconds(rumor.beacon_age_ms()),
+                       now);
     if (rumor.has_config())
         take_config(rumor.config());
     if (changed)
@@ -265,7 +266,7 @@
 void control_task::send_hellos() {
     schema::envelope envelope;
     *envelope.mutable_hello() = make_hello();
-    entries_.saw(envelope.hello(), milliseconds(0), monotonic_now());
+    entries_.observe(envelope.hello(), milliseconds(0), monotonic_now());
     for (const keeper_address& keeper : keeper_addresses(settings_))
         hub_->send(keeper.address, envelope);
 }
@@ -278,7 +279,7 @@
     rumor->set_incarnation(incarnation_);
     rumor->set_sequence(++gossip_sequence_);
     *rumor->mutable_self() = make_hello();
-    for (schema::endpoint_record& record : directory_.own_records(now))
+    for (schema::endpoint_record& record : directory_.directly_heard_records(now))
         *rumor->add_endpoints() = std::move(record);
     for (const policy::strike& one : strikes_.all(now)) {
         schema::strike_record* told = rumor->add_strikes();
--- a/lib/entry/control_view.cpp
+++ b/lib/entry/control_view.cpp
@@ -23,7 +23,7 @@
         }
     }
     std::vector<policy::endpoint_facts> out;
-    for (const membership::endpoint_entry* one : directory_.serving(now)) {
+    for (const membership::endpoint_state* one : directory_.serving(now)) {
         const schema::endpoint_record& record = one->record;
         policy::endpoint_facts facts;
         facts.id = endpoint_id(record.id());
@@ -57,7 +57,7 @@
     std::shared_ptr<fleet_view> view = std::make_shared<fleet_view>();
     view->endpoints = endpoint_facts(now);
     view->entries_version = entries_.version(now);
-    for (const schema::entry_hello* one : entries_.open(now))
+    for (const schema::entry_hello* one : entries_.accepting(now))
         view->entries.push_back(
             {entry_id(one->entry()), one->http_address(), zone_id(one->zone())});
     view->catalog = catalog_;
@@ -85,14 +85,14 @@
     out["open_keeper_requests"] = keepers_.open_requests();
     boost::json::array endpoints;
     const std::vector<const schema::entry_hello*> alive = entries_.alive(now);
-    for (const std::pair<const endpoint_id, membership::endpoint_entry>& one : directory_.all()) {
+    for (const std::pair<const endpoint_id, membership::endpoint_state>& one : directory_.all()) {
         const schema::endpoint_record& record = one.second.record;
         endpoints.push_back(
             {{"id", record.id()},
              {"address", record.address()},
              {"zone", record.zone()},
              {"state", one.second.leaving ? "leaving" : "serving"},
-             {"silent_ms", (now - one.second.heard).count() / 1000},
+             {"silent_ms", (now - one.second.last_heard).count() / 1000},
              {"running", record.load().running()},
              {"max_running", record.max_running()},
              {"steward", membership::steward_of(one.first, record.zone(), alive).str()}});
--- a/lib/gateway/fleet_link.cpp
+++ b/lib/gateway/fleet_link.cpp
@@ -41,7 +41,7 @@
       keeper_client_({}, [this](const peer_address& to,
                                 schema::envelope& message) { hub_.send(to, message); }),
       followed_(settings.name(), zone_id(settings.zone())), roster_(settings.name()),
-      directory_(membership::directory_settings()),
+      directory_(membership::endpoint_directory_settings()),
       usage_(entry_id(settings.name()), zone_id(settings.zone()),
              {[this](const entry_id& to, schema::envelope& envelope) {
                   return send_to_gateway(to, envelope);
@@ -224,7 +224,7 @@
     const peer_address from(beacon.keeper());
     last_news_ = now;
     control_keepers_[from] = now;
-    followed_.heard(from, beacon.in_touch(), now);
+    followed_.record_reply(from, beacon.in_touch(), now);
     learn_endpoints(beacon, now);
     learn_entries(beacon);
 }
@@ -264,7 +264,7 @@
 }
 
 void fleet_link::learn_entries(const schema::keeper_beacon& beacon) {
-    if (!roster_.learn(peer_address(beacon.keeper()), beacon))
+    if (!roster_.apply_beacon(peer_address(beacon.keeper()), beacon))
         return;
     std::vector<policy::fleet_gateway> gateways;
     for (const std::pair<const entry_id, schema::entry_hello>& one : roster_.entries())
@@ -278,9 +278,9 @@
     keeper.directory_epoch = beacon.directory_epoch();
     keeper.directory_revision = beacon.directory_revision();
     for (const schema::endpoint_record& record : beacon.endpoints())
-        directory_.told(record, now);
+        directory_.merge_remote(record, now);
     for (const schema::endpoint_pulse& pulse : beacon.pulses())
-        directory_.told(pulse, now);
+        directory_.merge_remote(pulse, now);
     publish_endpoints(now);
 }
 
@@ -293,7 +293,7 @@
     // Silence is judged by the time of the last news: while no keeper can be heard at all, the
     // endpoints that were there are the best guess.
     std::vector<policy::slot_endpoint> endpoints;
-    for (const membership::endpoint_entry* one : directory_.serving(std::min(now, last_news_))) {
+    for (const membership::endpoint_state* one : directory_.serving(std::min(now, last_news_))) {
         const schema::endpoint_record& record = one->record;
         endpoints.push_back({endpoint_id(record.id()), record.incarnation(),
                              http_address(record.address()), zone_id(record.zone()),
--- a/lib/keeper/endpoint_file.cpp
+++ b/lib/keeper/endpoint_file.cpp
@@ -7,7 +7,7 @@
 constexpr milliseconds restored_age(1000);
 } // namespace
 
-std::string encode_endpoints(const membership::directory& known, instant now) {
+std::string encode_endpoints(const membership::endpoint_directory& known, instant now) {
     schema::endpoint_list list;
     for (schema::endpoint_record& record : known.records_since(0, now)) {
         record.clear_load();
@@ -16,14 +16,14 @@
     return list.SerializeAsString();
 }
 
-std::size_t decode_endpoints(membership::directory& known, const std::string& content,
+std::size_t decode_endpoints(membership::endpoint_directory& known, const std::string& content,
                              instant now) {
     schema::endpoint_list list;
     if (!list.ParseFromString(content))
         return 0;
     for (schema::endpoint_record& record : *list.mutable_endpoints()) {
         record.set_age_ms(static_cast<std::uint32_t>(restored_age.count()));
-        known.told(record, now);
+        known.merge_remote(record, now);
     }
     return static_cast<std::size_t>(list.endpoints_size());
 }
--- a/lib/keeper/group_host.cpp
+++ b/lib/keeper/group_host.cpp
@@ -38,7 +38,7 @@
         return false;
     consensus::raft_log log({snapshot.index(), term_number(snapshot.term()),
                              consensus::members_from_proto(snapshot.members())});
-    for (const consensus::entry_pointer& entry : found.entries)
+    for (const consensus::log_entry_ptr& entry : found.entries)
         log.append(entry);
     positions_ = found.positions;
     first_position_ = snapshot.index() + 1;
@@ -114,7 +114,7 @@
 }
 
 void group_host::hand_over(instant now) {
-    raft_->hand_over(now);
+    raft_->transfer_leadership(now);
 }
 
 // What was proposed may still be committed by the next leader, so nobody is told it failed: the
@@ -132,13 +132,13 @@
 
 std::vector<schema::raft_message> group_host::perform(awaiting_sync& awaiting, instant now) {
     consensus::raft_actions actions = raft_->take_actions();
-    std::vector<schema::raft_message> out = std::move(actions.now);
+    std::vector<schema::raft_message> out = std::move(actions.immediate_messages);
     write_actions(actions, awaiting);
-    for (const consensus::entry_pointer& entry : actions.committed)
+    for (const consensus::log_entry_ptr& entry : actions.committed_entries)
         apply(entry);
-    for (const disk_id member : actions.need_snapshot)
+    for (const disk_id member : actions.members_needing_snapshot)
         start_transfer(member);
-    for (const schema::raft_message& part : actions.snapshots)
+    for (const schema::raft_message& part : actions.snapshot_messages)
         receive_part(part, now, out);
     continue_transfers(now, out);
     maybe_snapshot(now);
@@ -153,30 +153,31 @@
         record.mutable_state()->set_voted_for(actions.vote->voted_for.value());
         disk_.log().append(record.SerializeAsString());
     }
-    if (actions.cut_after) {
-        record.set_cut_after(*actions.cut_after);
+    if (actions.truncate_after) {
+        record.set_cut_after(*actions.truncate_after);
         disk_.log().append(record.SerializeAsString());
-        const std::uint64_t kept = *actions.cut_after + 1 - first_position_;
+        const std::uint64_t kept = *actions.truncate_after + 1 - first_position_;
         while (positions_.size() > kept)
             positions_.pop_back();
     }
-    for (const consensus::entry_pointer& entry : actions.append) {
+    for (const consensus::log_entry_ptr& entry : actions.new_entries) {
         *record.mutable_entry() = *entry;
         positions_.push_back(disk_.log().append(record.SerializeAsString()));
         bytes_since_snapshot_ += entry->payload().size();
     }
-    if (!actions.append.empty()) {
-        const consensus::entry_pointer& last = actions.append.back();
+    if (!actions.new_entries.empty()) {
+        const consensus::log_entry_ptr& last = actions.new_entries.back();
         awaiting.persisted.push_back({settings_.group, last->index(), term_number(last->term())});
     }
-    std::move(actions.synced.begin(), actions.synced.end(), std::back_inserter(awaiting.messages));
+    std::move(actions.messages_after_sync.begin(), actions.messages_after_sync.end(),
+              std::back_inserter(awaiting.messages));
 }
 
 void group_host::persisted(std::uint64_t index, term_number term) {
     raft_->persisted(index, term);
 }
 
-void group_host::apply(const consensus::entry_pointer& entry) {
+void group_host::apply(const consensus::log_entry_ptr& entry) {
     schema::keeper_reply reply;
     if (entry->kind() == schema::log_entry::command)
         reply = machine_.apply(entry->payload(), positions_[entry->index() - first_position_]);
--- a/lib/keeper/group_snapshots.cpp
+++ b/lib/keeper/group_snapshots.cpp
@@ -72,7 +72,7 @@
         log_info("snapshot_transfer_done")
             .with("group", settings_.group.value())
             .with("to", from.value());
-        raft_->member_restored(from, index, now);
+        raft_->snapshot_delivered(from, index, now);
         on_actions_();
         return;
     }
@@ -113,7 +113,7 @@
     }
     installing_ = true;
     const consensus::log_base base = receiver_.base();
-    raft_->installed(base, now);
+    raft_->snapshot_installed(base, now);
     positions_.clear();
     first_position_ = base.index + 1;
     founded_ = true;
--- a/lib/keeper/service.cpp
+++ b/lib/keeper/service.cpp
@@ -46,7 +46,7 @@
       founding_(founder_names(settings_)),
       node_(uses_seeds() ? settings_.peer_address() : settings_.name()),
       directory_({milliseconds(settings_.endpoint_silent_ms()),
-                  membership::directory_settings().forget_after}),
+                  membership::endpoint_directory_settings().forget_after}),
       directory_epoch_(random_bits()), roster_(directory_epoch_, entry_alive) {
     if (uses_seeds()) {
         founding_.set_target(group_size());
--- a/lib/keeper/service_api.cpp
+++ b/lib/keeper/service_api.cpp
@@ -61,7 +61,7 @@
 
 void service::announce(const schema::endpoint_record& record, std::function<void(bool)> done) {
     const instant now = monotonic_now();
-    const bool changed = directory_.announced(record, now);
+    const bool changed = directory_.merge_announcement(record, now);
     if (changed) {
         log_info("endpoint_changed")
             .with("endpoint", record.id())
--- a/lib/keeper/service_entries.cpp
+++ b/lib/keeper/service_entries.cpp
@@ -58,7 +58,7 @@
     entry.seen = now;
     entry.own_seen = now;
     if (hosts_control() && uses_seeds())
-        roster_.saw(hello, now);
+        roster_.observe(hello, now);
     const std::string holder = holder_name(hello);
     for (std::pair<const group_id, work_group>& group : work_) {
         if (hosts_.at(group.first)->raft().leads())
@@ -139,7 +139,7 @@
     if (now - lists_made_at_ < list_age)
         return;
     lists_made_at_ = now;
-    roster_.refresh(now);
+    roster_.mark_lost(now);
     keepers_digest_ = keepers_digest();
 }
 
--- a/lib/keeper/service_fleet.cpp
+++ b/lib/keeper/service_fleet.cpp
@@ -146,7 +146,7 @@
             continue;
         found->second.seen = seen;
         found->second.hello.set_draining(one.draining());
-        roster_.saw(found->second.hello, seen);
+        roster_.observe(found->second.hello, seen);
     }
 }
 
@@ -173,9 +173,9 @@
         return;
     bool changed = false;
     for (const schema::endpoint_record& record : news.endpoints())
-        changed = directory_.told(record, now) || changed;
+        changed = directory_.merge_remote(record, now) || changed;
     for (const schema::endpoint_pulse& pulse : news.pulses())
-        directory_.told(pulse, now);
+        directory_.merge_remote(pulse, now);
     learn_sightings(news, now);
     heard_revisions_[news.self().address()] = {news.directory_epoch(), news.directory_revision()};
     if (!changed)
--- a/lib/membership/directory.cpp
+++ b/lib/membership/directory.cpp
@@ -17,7 +17,7 @@
     return left.SerializeAsString() != right.SerializeAsString();
 }
 
-bool directory::announced(const schema::endpoint_record& record, instant now) {
+bool endpoint_directory::merge_announcement(const schema::endpoint_record& record, instant now) {
     const bool changed = merge(record, now);
     auto found = endpoints_.find(endpoint_id(record.id()));
     if (found->second.record.incarnation() == record.incarnation())
@@ -25,17 +25,18 @@
     return changed;
 }
 
-bool directory::told(const schema::endpoint_record& record, instant now) {
+bool endpoint_directory::merge_remote(const schema::endpoint_record& record, instant now) {
     return merge(record, now - milliseconds(record.age_ms()));
 }
 
-void directory::store(endpoint_entry& entry, const schema::endpoint_record& record, instant heard) {
+void endpoint_directory::store(endpoint_state& entry, const schema::endpoint_record& record,
+                               instant heard) {
     entry.record = record;
-    entry.heard = heard;
+    entry.last_heard = heard;
     entry.heard_at = ++revision_;
 }
 
-void directory::note_change(endpoint_entry& entry) {
+void endpoint_directory::note_change(endpoint_state& entry) {
     entry.changed_at = ++revision_;
     ++changes_;
 }
@@ -46,8 +47,8 @@
 
 // An address passes from one process to another. An announcement of the earlier one that was held
 // up on its way would otherwise put both there, and requests meant for one would reach the other.
-void directory::end_predecessors(const schema::endpoint_record& record) {
-    for (std::pair<const endpoint_id, endpoint_entry>& one : endpoints_) {
+void endpoint_directory::end_predecessors(const schema::endpoint_record& record) {
+    for (std::pair<const endpoint_id, endpoint_state>& one : endpoints_) {
         const schema::endpoint_record& other = one.second.record;
         const bool replaced = other.address() == record.address() && other.id() != record.id() &&
                               other.incarnation() < record.incarnation() && !other.gone();
@@ -59,10 +60,10 @@
     }
 }
 
-static bool is_replaced(const std::map<endpoint_id, endpoint_entry>& endpoints,
+static bool is_replaced(const std::map<endpoint_id, endpoint_state>& endpoints,
                         const schema::endpoint_record& record) {
     return std::any_of(endpoints.begin(), endpoints.end(),
-                       [&record](const std::pair<const endpoint_id, endpoint_entry>& one) {
+                       [&record](const std::pair<const endpoint_id, endpoint_state>& one) {
                            const schema::endpoint_record& other = one.second.record;
                            return other.address() == record.address() &&
                                   other.id() != record.id() &&
@@ -70,13 +71,13 @@
                        });
 }
 
-bool directory::merge(const schema::endpoint_record& record, instant heard) {
+bool endpoint_directory::merge(const schema::endpoint_record& record, instant heard) {
     const endpoint_id id(record.id());
     auto found = endpoints_.find(id);
     const bool newer =
         found == endpoints_.end() || record.incarnation() > found->second.record.incarnation();
     if (newer) {
-        endpoint_entry entry;
+        endpoint_state entry;
         store(entry, record, heard);
         const bool replaced = is_replaced(endpoints_, record);
         entry.leaving = record.leaving() || record.gone() || replaced;
@@ -86,7 +87,7 @@
         end_predecessors(record);
         return true;
     }
-    endpoint_entry& known = found->second;
+    endpoint_state& known = found->second;
     if (record.incarnation() < known.record.incarnation())
         return false;
     // Leaving holds for the whole incarnation: an announcement from before it, which took a slower
@@ -100,7 +101,7 @@
     known.record.set_gone(gone);
     // A late announcement doesn't show that the endpoint still lives.
     const bool late = record.sequence() < known.record.sequence();
-    if (heard <= known.heard || late)
+    if (heard <= known.last_heard || late)
         return starts_leaving;
     const bool differing = differs(record, known.record);
     store(known, record, heard);
@@ -113,56 +114,56 @@
 // Nearly all announcements say nothing new. Passed on whole, those of 60 endpoints kept every
 // gateway and keeper of a large fleet busy; where the record itself is missing here, it comes with
 // the same message.
-void directory::told(const schema::endpoint_pulse& pulse, instant now) {
+void endpoint_directory::merge_remote(const schema::endpoint_pulse& pulse, instant now) {
     auto found = endpoints_.find(endpoint_id(pulse.id()));
     if (found == endpoints_.end())
         return;
-    endpoint_entry& known = found->second;
+    endpoint_state& known = found->second;
     const instant heard = now - milliseconds(pulse.age_ms());
     const bool newer = pulse.incarnation() == known.record.incarnation() &&
-                       pulse.sequence() >= known.record.sequence() && heard > known.heard;
+                       pulse.sequence() >= known.record.sequence() && heard > known.last_heard;
     if (!newer)
         return;
     known.record.set_sequence(pulse.sequence());
-    known.heard = heard;
+    known.last_heard = heard;
     known.heard_at = ++revision_;
 }
 
-bool directory::misses_any(milliseconds silence, instant now) const {
-    const std::vector<const endpoint_entry*> all = serving(now);
-    return std::any_of(all.begin(), all.end(), [silence, now](const endpoint_entry* one) {
-        return now - one->heard > silence;
+bool endpoint_directory::misses_any(milliseconds silence, instant now) const {
+    const std::vector<const endpoint_state*> all = serving(now);
+    return std::any_of(all.begin(), all.end(), [silence, now](const endpoint_state* one) {
+        return now - one->last_heard > silence;
     });
 }
 
-std::vector<schema::endpoint_pulse> directory::pulses_since(std::uint64_t revision,
-                                                            instant now) const {
+std::vector<schema::endpoint_pulse> endpoint_directory::pulses_since(std::uint64_t revision,
+                                                                     instant now) const {
     std::vector<schema::endpoint_pulse> out;
-    for (const std::pair<const endpoint_id, endpoint_entry>& one : endpoints_) {
+    for (const std::pair<const endpoint_id, endpoint_state>& one : endpoints_) {
         if (one.second.changed_at > revision || one.second.heard_at <= revision)
             continue;
         schema::endpoint_pulse pulse;
         pulse.set_id(one.first.str());
         pulse.set_incarnation(one.second.record.incarnation());
         pulse.set_sequence(one.second.record.sequence());
-        pulse.set_age_ms(ms_between(one.second.heard, now));
+        pulse.set_age_ms(ms_between(one.second.last_heard, now));
         out.push_back(std::move(pulse));
     }
     return out;
 }
 
-std::vector<const endpoint_entry*> directory::serving(instant now) const {
-    std::vector<const endpoint_entry*> out;
-    for (const std::pair<const endpoint_id, endpoint_entry>& one : endpoints_) {
-        if (!one.second.leaving && now - one.second.heard < settings_.silent_after)
+std::vector<const endpoint_state*> endpoint_directory::serving(instant now) const {
+    std::vector<const endpoint_state*> out;
+    for (const std::pair<const endpoint_id, endpoint_state>& one : endpoints_) {
+        if (!one.second.leaving && now - one.second.last_heard < settings_.silent_after)
             out.push_back(&one.second);
     }
     return out;
 }
 
-std::vector<schema::endpoint_record> directory::own_records(instant now) const {
+std::vector<schema::endpoint_record> endpoint_directory::directly_heard_records(instant now) const {
     std::vector<schema::endpoint_record> out;
-    for (const std::pair<const endpoint_id, endpoint_entry>& one : endpoints_) {
+    for (const std::pair<const endpoint_id, endpoint_state>& one : endpoints_) {
         const microseconds age = now - one.second.own_heard;
         if (age >= settings_.silent_after)
             continue;
@@ -174,23 +175,23 @@
     return out;
 }
 
-std::vector<schema::endpoint_record> directory::records_since(std::uint64_t revision,
-                                                              instant now) const {
+std::vector<schema::endpoint_record> endpoint_directory::records_since(std::uint64_t revision,
+                                                                       instant now) const {
     std::vector<schema::endpoint_record> out;
-    for (const std::pair<const endpoint_id, endpoint_entry>& one : endpoints_) {
+    for (const std::pair<const endpoint_id, endpoint_state>& one : endpoints_) {
         if (one.second.changed_at <= revision)
             continue;
         schema::endpoint_record record = one.second.record;
         record.set_leaving(one.second.leaving);
-        record.set_age_ms(ms_between(one.second.heard, now));
+        record.set_age_ms(ms_between(one.second.last_heard, now));
         out.push_back(std::move(record));
     }
     return out;
 }
 
-void directory::forget_old(instant now) {
+void endpoint_directory::forget_old(instant now) {
     for (auto one = endpoints_.begin(); one != endpoints_.end();) {
-        const bool old = now - one->second.heard > settings_.forget_after;
+        const bool old = now - one->second.last_heard > settings_.forget_after;
         one = old ? endpoints_.erase(one) : std::next(one);
     }
 }
--- a/lib/membership/entry_list.cpp
+++ b/lib/membership/entry_list.cpp
@@ -11,7 +11,7 @@
 constexpr milliseconds forgotten_after(60000);
 } // namespace
 
-void entry_list::saw(const schema::entry_hello& hello, milliseconds age, instant now) {
+void entry_list::observe(const schema::entry_hello& hello, milliseconds age, instant now) {
     known_entry& known = entries_[entry_id(hello.entry())];
     const instant seen = now - age;
     const bool newer = hello.incarnation() > known.hello.incarnation();
@@ -31,7 +31,7 @@
     return out;
 }
 
-std::vector<const schema::entry_hello*> entry_list::open(instant now) const {
+std::vector<const schema::entry_hello*> entry_list::accepting(instant now) const {
     std::vector<const schema::entry_hello*> out;
     for (const schema::entry_hello* one : alive(now)) {
         if (!one->draining() && !one->stale())
@@ -42,7 +42,7 @@
 
 std::uint64_t entry_list::version(instant now) {
     std::vector<std::string> names;
-    for (const schema::entry_hello* one : open(now))
+    for (const schema::entry_hello* one : accepting(now))
         names.push_back(one->entry() + "/" + std::to_string(one->incarnation()));
     if (names != last_open_) {
         last_open_ = std::move(names);
--- a/lib/membership/entry_roster.cpp
+++ b/lib/membership/entry_roster.cpp
@@ -14,7 +14,7 @@
            a.zone() == b.zone() && a.draining() == b.draining();
 }
 
-void entry_roster::saw(const schema::entry_hello& hello, instant now) {
+void entry_roster::observe(const schema::entry_hello& hello, instant now) {
     member& known = members_[hello.entry()];
     const bool changed =
         known.changed_at == 0 || known.lost || !same_for_others(known.hello, hello);
@@ -26,7 +26,7 @@
     known.changed_at = ++revision_;
 }
 
-void entry_roster::refresh(instant now) {
+void entry_roster::mark_lost(instant now) {
     for (auto one = members_.begin(); one != members_.end();) {
         member& known = one->second;
         const microseconds silence = now - known.seen;
@@ -82,7 +82,7 @@
     hello.set_entries_revision(revision_);
 }
 
-bool roster_copy::learn(const peer_address& keeper, const schema::keeper_beacon& beacon) {
+bool roster_copy::apply_beacon(const peer_address& keeper, const schema::keeper_beacon& beacon) {
     if (keeper != source_ || beacon.entries_revision() == 0)
         return false;
     // A late beacon would take back what a newer one has told.
--- a/lib/membership/followed_keeper.cpp
+++ b/lib/membership/followed_keeper.cpp
@@ -15,10 +15,10 @@
 constexpr milliseconds failed_avoided(5000);
 } // namespace
 
-void followed_keeper::heard(const peer_address& keeper, bool in_touch, instant now) {
+void followed_keeper::record_reply(const peer_address& keeper, bool in_touch, instant now) {
     candidate& one = candidates_[keeper];
     one.in_touch = in_touch;
-    one.heard = now;
+    one.last_reply = now;
 }
 
 void followed_keeper::set_zone(const peer_address& keeper, zone_id zone) {
@@ -36,7 +36,7 @@
     const bool just_chosen = keeper == current_ && now - current_since_ < followed_missed_after;
     const milliseconds limit =
         keeper == current_ && !just_chosen ? followed_missed_after : other_missed_after;
-    return now - one.heard < limit;
+    return now - one.last_reply < limit;
 }
 
 // Own zone first: what it sends crosses no zone.
--- a/lib/membership/freshness.cpp
+++ b/lib/membership/freshness.cpp
@@ -4,7 +4,8 @@
 
 namespace cassia::membership {
 
-void freshness::saw(std::uint64_t term, std::uint64_t beacon, milliseconds age, instant now) {
+void beacon_freshness::observe(std::uint64_t term, std::uint64_t beacon, milliseconds age,
+                               instant now) {
     const std::pair<std::uint64_t, std::uint64_t> one{term, beacon};
     // A beacon that is passed on keeps its age: entries that are cut off together must not keep
     // each other fresh.
@@ -15,11 +16,11 @@
     }
 }
 
-bool freshness::is_stale(instant now) const {
+bool beacon_freshness::is_stale(instant now) const {
     return !ever_ || now - seen_at_ > stale_after_;
 }
 
-milliseconds freshness::age(instant now) const {
+milliseconds beacon_freshness::age(instant now) const {
     if (!ever_)
         return stale_after_ * 2;
     return std::chrono::duration_cast<milliseconds>(now - seen_at_);
--- a/unittests/consensus/raft_random_test.cpp
+++ b/unittests/consensus/raft_random_test.cpp
@@ -22,7 +22,7 @@
     disk_id disk;
     log_base base;
     vote_state synced_vote;
-    std::vector<entry_pointer> synced_log; ///< behind the base
+    std::vector<log_entry_ptr> synced_log; ///< behind the base
     std::unique_ptr<raft_group> raft;
     std::vector<std::string> applied;
     std::uint64_t applied_index = 1;
@@ -90,7 +90,7 @@
 
     void boot(test_member& one) {
         raft_log log(one.base);
-        for (const entry_pointer& entry : one.synced_log)
+        for (const log_entry_ptr& entry : one.synced_log)
             log.append(entry);
         one.raft =
             std::make_unique<raft_group>(group_id(0), one.disk, raft_settings(), one.synced_vote,
@@ -151,12 +151,12 @@
         if (!one.up)
             return;
         raft_actions actions = one.raft->take_actions();
-        send(actions.now);
-        for (const entry_pointer& entry : actions.committed) {
+        send(actions.immediate_messages);
+        for (const log_entry_ptr& entry : actions.committed_entries) {
             one.applied_index = entry->index();
             one.applied.push_back(std::to_string(entry->term()) + ":" + entry->payload());
         }
-        actions.committed.clear();
+        actions.committed_entries.clear();
         one.unsynced.push_back(std::move(actions));
         // The disk takes its time, sometimes.
         if (drop_percent_ > 0 && pick(0, 3) == 0)
@@ -170,18 +170,18 @@
     void sync(test_member& one, raft_actions& written) {
         if (written.vote)
             one.synced_vote = *written.vote;
-        if (written.cut_after) {
-            while (one.base.index + one.synced_log.size() > *written.cut_after)
+        if (written.truncate_after) {
+            while (one.base.index + one.synced_log.size() > *written.truncate_after)
                 one.synced_log.pop_back();
         }
-        for (const entry_pointer& entry : written.append) {
+        for (const log_entry_ptr& entry : written.new_entries) {
             REQUIRE(entry->index() == one.base.index + one.synced_log.size() + 1);
             one.synced_log.push_back(entry);
         }
-        if (!written.append.empty())
-            one.raft->persisted(written.append.back()->index(),
-                                term_number(written.append.back()->term()));
-        send(written.synced);
+        if (!written.new_entries.empty())
+            one.raft->persisted(written.new_entries.back()->index(),
+                                term_number(written.new_entries.back()->term()));
+        send(written.messages_after_sync);
     }
 
     void check() {
--- a/unittests/consensus/raft_rules_test.cpp
+++ b/unittests/consensus/raft_rules_test.cpp
@@ -45,11 +45,11 @@
           "[consensus]") {
     raft_group group = make_member(1, 3, start);
     group.receive(request(schema::raft_message::vote, 2, 1, 2), start + milliseconds(100));
-    CHECK(group.take_actions().synced.empty());
+    CHECK(group.take_actions().messages_after_sync.empty());
     group.receive(request(schema::raft_message::vote, 2, 1, 2), start + milliseconds(800));
     const raft_actions actions = group.take_actions();
-    REQUIRE(actions.synced.size() == 1);
-    CHECK_FALSE(actions.synced[0].reject());
+    REQUIRE(actions.messages_after_sync.size() == 1);
+    CHECK_FALSE(actions.messages_after_sync[0].reject());
     CHECK(actions.vote.has_value());
 }
 
@@ -59,12 +59,12 @@
     raft_group group = make_member(1, 3, start);
     group.receive(request(schema::raft_message::vote, 2, 1, 2), start + milliseconds(800));
     raft_actions actions = group.take_actions();
-    CHECK(actions.now.empty());
+    CHECK(actions.immediate_messages.empty());
     CHECK(actions.vote == vote_state{term_number(2), disk_id(2)});
     group.receive(request(schema::raft_message::vote, 3, 1, 2), start + milliseconds(900));
     actions = group.take_actions();
-    REQUIRE(actions.synced.size() == 1);
-    CHECK(actions.synced[0].reject());
+    REQUIRE(actions.messages_after_sync.size() == 1);
+    CHECK(actions.messages_after_sync[0].reject());
 }
 
 // Story: a VM comes back under the name it had, with an empty disk, and the cluster elects a
@@ -72,7 +72,7 @@
 TEST_CASE("a message for the disk that a member used to have is ignored", "[consensus]") {
     raft_group group = make_member(1, 3, start);
     group.receive(request(schema::raft_message::vote, 2, 77, 2), start + milliseconds(800));
-    CHECK(group.take_actions().synced.empty());
+    CHECK(group.take_actions().messages_after_sync.empty());
 }
 
 TEST_CASE("a disk that is no voter never campaigns", "[consensus]") {
@@ -80,7 +80,7 @@
     for (int i = 0; i < 100; ++i)
         group.tick(start + milliseconds(100 * i));
     CHECK(group.role() == raft_role::learner);
-    CHECK(group.take_actions().synced.empty());
+    CHECK(group.take_actions().messages_after_sync.empty());
 }
 
 // Story: a control VM is cut off silently. Its entries go on trusting its word although the rest
@@ -90,8 +90,8 @@
     group.tick(start + milliseconds(1500));
     REQUIRE(group.leads());
     raft_actions actions = group.take_actions();
-    REQUIRE(actions.append.size() == 1);
-    group.persisted(2, term_number(actions.append[0]->term()));
+    REQUIRE(actions.new_entries.size() == 1);
+    group.persisted(2, term_number(actions.new_entries[0]->term()));
     REQUIRE(group.may_read(start + milliseconds(1500)));
     member_list more = group.log().members();
     more.push_back({disk_id(2), "node-2", "", false});
@@ -113,7 +113,7 @@
     member_list more = group.log().members();
     more.push_back({disk_id(2), "node-2", "", false});
     CHECK_FALSE(group.propose_members(more, start + milliseconds(1500)));
-    group.persisted(2, term_number(actions.append[0]->term()));
+    group.persisted(2, term_number(actions.new_entries[0]->term()));
     CHECK(group.propose_members(more, start + milliseconds(1500)));
     CHECK_FALSE(group.propose_members(more, start + milliseconds(1500)));
 }
@@ -143,10 +143,10 @@
         refusal.set_reject(true);
         refusal.set_sent_at_us(to_us(led + milliseconds(40 * i)));
         group.receive(refusal, healed);
-        for (const schema::raft_message& message : group.take_actions().now)
+        for (const schema::raft_message& message : group.take_actions().immediate_messages)
             bytes += message.ByteSizeLong();
     }
-    CHECK(bytes < 2 * raft_settings().append_bytes);
+    CHECK(bytes < 2 * raft_settings().max_append_bytes);
 }
 
 namespace {
@@ -178,9 +178,11 @@
         std::vector<schema::raft_message> sent;
         for (auto& one : members_) {
             const raft_actions actions = one.second.take_actions();
-            sent.insert(sent.end(), actions.now.begin(), actions.now.end());
-            sent.insert(sent.end(), actions.synced.begin(), actions.synced.end());
-            if (!actions.append.empty())
+            sent.insert(sent.end(), actions.immediate_messages.begin(),
+                        actions.immediate_messages.end());
+            sent.insert(sent.end(), actions.messages_after_sync.begin(),
+                        actions.messages_after_sync.end());
+            if (!actions.new_entries.empty())
                 one.second.persisted(one.second.log().last_index(), one.second.term());
         }
         for (const schema::raft_message& message : sent) {
@@ -258,15 +260,15 @@
     append.set_index_term(2);
     group.receive(append, start + milliseconds(10));
     raft_actions actions = group.take_actions();
-    REQUIRE(actions.synced.size() == 1);
-    CHECK(actions.synced[0].reject());
-    CHECK(actions.synced[0].index() == last);
+    REQUIRE(actions.messages_after_sync.size() == 1);
+    CHECK(actions.messages_after_sync[0].reject());
+    CHECK(actions.messages_after_sync[0].index() == last);
     // Where an entry of another term stands, the whole term may differ.
     append.set_index(last);
     append.set_index_term(3);
     group.receive(append, start + milliseconds(20));
     actions = group.take_actions();
-    REQUIRE(actions.synced.size() == 1);
-    CHECK(actions.synced[0].reject());
-    CHECK(actions.synced[0].index() == 1);
+    REQUIRE(actions.messages_after_sync.size() == 1);
+    CHECK(actions.messages_after_sync[0].reject());
+    CHECK(actions.messages_after_sync[0].index() == 1);
 }
--- a/unittests/keeper/endpoint_file_test.cpp
+++ b/unittests/keeper/endpoint_file_test.cpp
@@ -25,9 +25,9 @@
     return record;
 }
 
-std::set<std::string> serving(const membership::directory& known, instant now) {
+std::set<std::string> serving(const membership::endpoint_directory& known, instant now) {
     std::set<std::string> ids;
-    for (const membership::endpoint_entry* one : known.serving(now))
+    for (const membership::endpoint_state* one : known.serving(now))
         ids.insert(one->record.id());
     return ids;
 }
@@ -35,37 +35,37 @@
 } // namespace
 
 TEST_CASE("endpoints known before the loss of all processes serve at once", "[keeper]") {
-    membership::directory before({});
-    before.announced(endpoint("1", 5), start);
-    before.announced(endpoint("2", 5), start);
-    before.announced(endpoint("3", 5, true), start);
+    membership::endpoint_directory before({});
+    before.merge_announcement(endpoint("1", 5), start);
+    before.merge_announcement(endpoint("2", 5), start);
+    before.merge_announcement(endpoint("3", 5, true), start);
     const std::string content = encode_endpoints(before, start);
-    membership::directory after({});
+    membership::endpoint_directory after({});
     CHECK(decode_endpoints(after, content, start) == 3);
     CHECK(serving(after, start) == std::set<std::string>{"1", "2"});
     SECTION("and not for long, if they are heard no more") {
-        after.announced(endpoint("1", 6), start + milliseconds(900));
+        after.merge_announcement(endpoint("1", 6), start + milliseconds(900));
         CHECK(serving(after, start + milliseconds(2100)) == std::set<std::string>{"1"});
     }
     SECTION("and not once they leave") {
-        after.announced(endpoint("2", 6, true), start + milliseconds(100));
+        after.merge_announcement(endpoint("2", 6, true), start + milliseconds(100));
         CHECK(serving(after, start + milliseconds(200)) == std::set<std::string>{"1"});
     }
     SECTION("an announcement from before the loss brings none back") {
-        after.announced(endpoint("3", 4), start + milliseconds(100));
+        after.merge_announcement(endpoint("3", 4), start + milliseconds(100));
         CHECK(serving(after, start + milliseconds(200)) == std::set<std::string>{"1", "2"});
     }
     SECTION("another process at the address of one ends it") {
         schema::endpoint_record other = endpoint("9", 1);
         other.set_address("10.0.0.1:1");
         other.set_incarnation(8);
-        after.announced(other, start + milliseconds(100));
+        after.merge_announcement(other, start + milliseconds(100));
         CHECK(serving(after, start + milliseconds(200)) == std::set<std::string>{"2", "9"});
     }
 }
 
 TEST_CASE("a file of endpoints that is damaged restores none", "[keeper]") {
-    membership::directory after({});
+    membership::endpoint_directory after({});
     CHECK(decode_endpoints(after, "\xff\xff", start) == 0);
     CHECK(serving(after, start).empty());
 }
--- a/unittests/membership/entry_roster_test.cpp
+++ b/unittests/membership/entry_roster_test.cpp
@@ -40,17 +40,17 @@
     instant now(std::chrono::seconds(100));
     entry_roster roster(7, silent_after);
     for (int i = 0; i < 250; ++i)
-        roster.saw(hello_of(i), now);
+        roster.observe(hello_of(i), now);
     roster_copy copy("g0");
     copy.follow(first_keeper);
-    CHECK(copy.learn(first_keeper, beacon_for(roster, copy, now)));
+    CHECK(copy.apply_beacon(first_keeper, beacon_for(roster, copy, now)));
     CHECK(copy.entries().size() == 249);
-    roster.saw(hello_of(3, 2), now);
+    roster.observe(hello_of(3, 2), now);
     const schema::keeper_beacon beacon = beacon_for(roster, copy, now);
     CHECK(beacon.entries_size() == 1);
-    CHECK(copy.learn(first_keeper, beacon));
+    CHECK(copy.apply_beacon(first_keeper, beacon));
     CHECK(copy.entries().at(entry_id("g3")).incarnation() == 2);
-    CHECK_FALSE(copy.learn(first_keeper, beacon_for(roster, copy, now)));
+    CHECK_FALSE(copy.apply_beacon(first_keeper, beacon_for(roster, copy, now)));
 }
 
 // Guards against another keeper whose list lacks what the one before had told, or that revives
@@ -60,17 +60,17 @@
     entry_roster one(1, silent_after);
     entry_roster two(2, silent_after);
     for (int i = 1; i < 5; ++i)
-        one.saw(hello_of(i), now);
-    two.saw(hello_of(2), now);
+        one.observe(hello_of(i), now);
+    two.observe(hello_of(2), now);
     roster_copy copy("g0");
     copy.follow(first_keeper);
-    copy.learn(first_keeper, beacon_for(one, copy, now));
+    copy.apply_beacon(first_keeper, beacon_for(one, copy, now));
     const schema::keeper_beacon late = beacon_for(one, copy, now);
     now += milliseconds(1000);
     copy.follow(second_keeper);
-    CHECK(copy.learn(second_keeper, beacon_for(two, copy, now)));
+    CHECK(copy.apply_beacon(second_keeper, beacon_for(two, copy, now)));
     CHECK(copy.entries().size() == 1);
-    CHECK_FALSE(copy.learn(first_keeper, late));
+    CHECK_FALSE(copy.apply_beacon(first_keeper, late));
 }
 
 // Guards against copies that drift: entries come, go, restart and drain in random order, beacons
@@ -91,11 +91,11 @@
         copy.follow(source);
         const schema::keeper_beacon beacon = beacon_for(rosters.at(source), copy, now);
         if (!lossy || random() % 3 != 0)
-            copy.learn(source, beacon);
+            copy.apply_beacon(source, beacon);
         else
             late.emplace_back(source, beacon);
         if (lossy && !late.empty() && random() % 4 == 0) {
-            copy.learn(late.front().first, late.front().second);
+            copy.apply_beacon(late.front().first, late.front().second);
             late.erase(late.begin());
         }
     };
@@ -128,8 +128,8 @@
         }
         for (auto& one : rosters) {
             for (const auto& entry : alive)
-                one.second.saw(entry.second, now);
-            one.second.refresh(now);
+                one.second.observe(entry.second, now);
+            one.second.mark_lost(now);
         }
         exchange(true);
     }
@@ -137,8 +137,8 @@
         now += milliseconds(250);
         for (auto& one : rosters) {
             for (const auto& entry : alive)
-                one.second.saw(entry.second, now);
-            one.second.refresh(now);
+                one.second.observe(entry.second, now);
+            one.second.mark_lost(now);
         }
         exchange(false);
     }
--- a/unittests/membership/followed_keeper_test.cpp
+++ b/unittests/membership/followed_keeper_test.cpp
@@ -22,7 +22,7 @@
     one.set_zone(far_keeper, zone_id("b"));
     one.set_zone(third_keeper, zone_id("c"));
     for (const peer_address& keeper : {near_keeper, far_keeper, third_keeper})
-        one.heard(keeper, true, start);
+        one.record_reply(keeper, true, start);
     return one;
 }
 
@@ -42,8 +42,8 @@
     const peer_address next = one.choose(later);
     CHECK(next != near_keeper);
     CHECK_FALSE(next.empty());
-    one.heard(near_keeper, true, later + milliseconds(6000));
-    one.heard(next, true, later + milliseconds(6000));
+    one.record_reply(near_keeper, true, later + milliseconds(6000));
+    one.record_reply(next, true, later + milliseconds(6000));
     CHECK(one.choose(later + milliseconds(6000)) == near_keeper);
 }
 
@@ -51,7 +51,7 @@
 TEST_CASE("a keeper that is out of touch is left for one in touch", "[follow]") {
     followed_keeper one = with_all_heard();
     CHECK(one.choose(start) == near_keeper);
-    one.heard(near_keeper, false, start + milliseconds(250));
+    one.record_reply(near_keeper, false, start + milliseconds(250));
     CHECK(one.choose(start + milliseconds(250)) != near_keeper);
     CHECK(one.is_in_touch());
 }
@@ -61,7 +61,7 @@
     followed_keeper one = with_all_heard();
     CHECK(one.choose(start) == near_keeper);
     for (const peer_address& keeper : {near_keeper, far_keeper, third_keeper})
-        one.heard(keeper, false, start + milliseconds(250));
+        one.record_reply(keeper, false, start + milliseconds(250));
     CHECK_FALSE(one.choose(start + milliseconds(300)).empty());
     CHECK_FALSE(one.is_in_touch());
 }
@@ -72,7 +72,7 @@
     for (int i = 0; i < 300; ++i) {
         followed_keeper one("g" + std::to_string(i), zone_id("elsewhere"));
         for (const peer_address& keeper : {near_keeper, far_keeper, third_keeper})
-            one.heard(keeper, true, start);
+            one.record_reply(keeper, true, start);
         ++followers[one.choose(start)];
     }
     CHECK(followers.size() == 3);
