--- a/include/cassia/gateway/fleet_link.h
+++ b/include/cassia/gateway/fleet_link.h
@@ -7,7 +7,7 @@
 #include "cassia/entry/keeper_client.h"
 #include "cassia/gateway/quota_link.h"
 #include "cassia/gateway/usage_link.h"
-#include "cassia/membership/directory.h"
+#include "cassia/membership/endpoint_directory.h"
 #include "cassia/membership/entry_roster.h"
 #include "cassia/membership/followed_keeper.h"
 #include "cassia/net/peer_hub.h"
--- a/include/cassia/keeper/endpoint_file.h
+++ b/include/cassia/keeper/endpoint_file.h
@@ -3,7 +3,7 @@
 #pragma once
 
 #include "cassia/base/clock.h"
-#include "cassia/membership/directory.h"
+#include "cassia/membership/endpoint_directory.h"
 
 #include <string>
 
--- a/include/cassia/keeper/service.h
+++ b/include/cassia/keeper/service.h
@@ -10,7 +10,7 @@
 #include "cassia/keeper/store.h"
 #include "cassia/keeper/table_delivery.h"
 #include "cassia/keeper/work_leader.h"
-#include "cassia/membership/directory.h"
+#include "cassia/membership/endpoint_directory.h"
 #include "cassia/membership/entry_roster.h"
 #include "cassia/net/http_server.h"
 #include "cassia/net/peer_hub.h"
--- a/lib/membership/freshness.cpp
+++ b/lib/membership/beacon_freshness.cpp
@@ -1,4 +1,4 @@
-#include "cassia/membership/freshness.h"
+#include "cassia/membership/beacon_freshness.h"
 
 #include <algorithm>
 
--- a/lib/membership/directory.cpp
+++ b/lib/membership/endpoint_directory.cpp
@@ -1,4 +1,4 @@
-#include "cassia/membership/directory.h"
+#include "cassia/membership/endpoint_directory.h"
 
 #include <algorithm>
 #include <iterator>
--- a/unittests/membership/membership_test.cpp
+++ b/unittests/membership/membership_test.cpp
@@ -1,8 +1,8 @@
 // Who lives, who leaves, and whether an entry may trust what it knows.
 
-#include "cassia/membership/directory.h"
+#include "cassia/membership/beacon_freshness.h"
+#include "cassia/membership/endpoint_directory.h"
 #include "cassia/membership/entry_list.h"
-#include "cassia/membership/freshness.h"
 
 #include <catch2/catch.hpp>
 
