--- a/include/cassia/state/control_state.h
+++ b/include/cassia/state/control_state.h
@@ -1,6 +1,7 @@
-/// State of the control group: the accepted versions of the two lists, the table of routes, which
-/// keepers form the work groups, and the fence of orders.
-/// Deterministic: every member that applies the same commands holds the same state.
+/// Replicated state of the control group: the accepted versions of the plans and allowances, the
+/// route table, the founding members of the work groups, the keepers being retired, and the counter
+/// behind the fencing tokens of operators' orders.
+/// Deterministic: members that apply the same commands hold the same state.
 #pragma once
 
 #include "cassia/state/error.h"
@@ -33,19 +34,20 @@
     schema::control_reply apply(const schema::control_command& command);
 
     std::uint64_t version() const;
-    /// The version in force, or null before the first change.
+    /// The version in force; null before the first change.
     const schema::change_record* current() const;
-    /// Accepted versions, oldest first; texts are kept for the latest few only.
+    /// Accepted versions, oldest first. Only the latest few carry their texts.
     const std::vector<schema::change_record>& history() const { return changes_; }
 
-    /// The table of routes in force; version 0 before the first.
+    /// The route table in force; its version is 0 before the first one is applied.
     const schema::route_table& routes() const { return *routes_; }
-    /// The first members of the work groups; empty until they are decided.
+    /// The founding members of the work groups; empty until they have been decided.
     const schema::group_members& work_founders() const { return *work_founders_; }
 
-    /// Keepers that are to be emptied.
+    /// Keepers whose group memberships are being moved away before their removal.
     const std::vector<schema::retire_command>& retiring() const { return retiring_; }
 
+    /// Serializes the state for a snapshot; load() restores it.
     std::string save() const;
     static result<control_state> load(const std::string& image);
 
@@ -54,7 +56,7 @@
     schema::control_reply apply_routes(const schema::route_table& table);
     schema::control_reply apply_retire(const schema::retire_command& retire);
     schema::control_reply apply_founding(const schema::group_members& founders);
-    void trim();
+    void trim_history();
 
     std::vector<schema::change_record> changes_;
     std::map<std::string, std::uint64_t> versions_by_change_;
--- a/include/cassia/state/error.h
+++ b/include/cassia/state/error.h
@@ -7,8 +7,8 @@
 
 enum class errc {
     bad_command, ///< the record isn't a command of this group
-    bad_image,   ///< the snapshot can't be read
-    lost_body,   ///< the log no longer holds a body that the state refers to
+    bad_image,   ///< the serialized state can't be parsed or is inconsistent
+    lost_body,   ///< the log no longer holds a record that the state refers to
 };
 
 using error = layer_error<errc>;
--- a/include/cassia/state/sharding.h
+++ b/include/cassia/state/sharding.h
@@ -1,4 +1,4 @@
-/// Which work group keeps a job or a key.
+/// Maps jobs and idempotency keys to the work group that stores them.
 #pragma once
 
 #include "cassia/base/digest.h"
--- a/lib/state/control_state.cpp
+++ b/lib/state/control_state.cpp
@@ -8,10 +8,11 @@
 namespace cassia::state {
 
 namespace {
-// Texts are large and only recent ones are ever sent; the digests of many more are kept, so that
-// an operator who resends a change after days still gets its first answer.
-constexpr std::size_t versions_with_text = 8;
-constexpr std::size_t versions_remembered = 50000;
+// The texts of a version are large, and only those of recent versions are ever sent. Change ids and
+// digests are kept for many more versions, so that an operator who resends a change after days
+// still gets the original answer.
+constexpr std::size_t max_versions_with_texts = 8;
+constexpr std::size_t max_versions = 50000;
 } // namespace
 
 control_state::control_state()
@@ -52,23 +53,23 @@
 schema::control_reply control_state::apply_change(const schema::change_command& change) {
     schema::control_reply reply;
     const std::string digest = content_digest(change);
-    auto known = versions_by_change_.find(change.change_id());
-    if (known != versions_by_change_.end()) {
-        const std::uint64_t first = changes_.front().version();
-        const schema::change_record& record = changes_[known->second - first];
-        const bool same = record.digest() == digest;
-        reply.set_result(same ? schema::control_reply::replayed
-                              : schema::control_reply::change_id_reused);
+    auto previous = versions_by_change_.find(change.change_id());
+    if (previous != versions_by_change_.end()) {
+        const std::uint64_t first_version = changes_.front().version();
+        const schema::change_record& record = changes_[previous->second - first_version];
+        const bool same_content = record.digest() == digest;
+        reply.set_result(same_content ? schema::control_reply::replayed
+                                      : schema::control_reply::change_id_reused);
         reply.set_version(record.version());
         return reply;
     }
     if (change.base() != version()) {
         reply.set_result(schema::control_reply::conflict);
         reply.set_version(version());
-        const bool in_history = !changes_.empty() &&
-                                change.base() + 1 >= changes_.front().version() &&
-                                change.base() < version();
-        if (in_history)
+        const bool base_in_history = !changes_.empty() &&
+                                     change.base() + 1 >= changes_.front().version() &&
+                                     change.base() < version();
+        if (base_in_history)
             reply.set_winner(changes_[change.base() + 1 - changes_.front().version()].change_id());
         return reply;
     }
@@ -81,14 +82,15 @@
     record.set_digest(digest);
     versions_by_change_[change.change_id()] = record.version();
     changes_.push_back(std::move(record));
-    trim();
+    trim_history();
     reply.set_result(schema::control_reply::accepted);
     reply.set_version(version());
     return reply;
 }
 
-// The highest version wins, whichever way and in which order tables come. One that isn't higher
-// changes nothing and is no error: it was overtaken, or its acknowledgement got lost.
+// The table with the highest version wins, regardless of the order of arrival. A table whose
+// version isn't higher is ignored without an error: a newer one was applied first, or this is a
+// resend after a lost acknowledgement.
 schema::control_reply control_state::apply_routes(const schema::route_table& table) {
     schema::control_reply reply;
     const bool higher = table.version() > routes_->version();
@@ -99,7 +101,8 @@
     return reply;
 }
 
-// Decided once: a second decision would found groups beside those that already hold jobs.
+// Only the first decision counts: a second one would create groups beside those that already hold
+// jobs.
 schema::control_reply control_state::apply_founding(const schema::group_members& founders) {
     schema::control_reply reply;
     const bool first = work_founders_->members_size() == 0;
@@ -110,23 +113,25 @@
 }
 
 schema::control_reply control_state::apply_retire(const schema::retire_command& retire) {
-    const bool known = std::any_of(
-        retiring_.begin(), retiring_.end(),
-        [&retire](const schema::retire_command& one) { return one.disk() == retire.disk(); });
-    if (!known)
+    const bool already_retiring = std::any_of(retiring_.begin(), retiring_.end(),
+                                              [&retire](const schema::retire_command& recorded) {
+                                                  return recorded.disk() == retire.disk();
+                                              });
+    if (!already_retiring)
         retiring_.push_back(retire);
     schema::control_reply reply;
-    reply.set_result(known ? schema::control_reply::replayed : schema::control_reply::accepted);
+    reply.set_result(already_retiring ? schema::control_reply::replayed
+                                      : schema::control_reply::accepted);
     return reply;
 }
 
-void control_state::trim() {
-    if (changes_.size() > versions_with_text) {
-        schema::change_record& old = changes_[changes_.size() - versions_with_text - 1];
-        old.clear_plans();
-        old.clear_allowances();
+void control_state::trim_history() {
+    if (changes_.size() > max_versions_with_texts) {
+        schema::change_record& record = changes_[changes_.size() - max_versions_with_texts - 1];
+        record.clear_plans();
+        record.clear_allowances();
     }
-    if (changes_.size() > versions_remembered) {
+    if (changes_.size() > max_versions) {
         versions_by_change_.erase(changes_.front().change_id());
         changes_.erase(changes_.begin());
     }
@@ -139,15 +144,15 @@
     image.set_fence(fence_);
     *image.mutable_routes() = *routes_;
     *image.mutable_work_founders() = *work_founders_;
-    for (const schema::retire_command& one : retiring_)
-        *image.add_retiring() = one;
+    for (const schema::retire_command& retire : retiring_)
+        *image.add_retiring() = retire;
     return image.SerializeAsString();
 }
 
-result<control_state> control_state::load(const std::string& bytes) {
+result<control_state> control_state::load(const std::string& serialized) {
     schema::control_state_image image;
-    if (!image.ParseFromString(bytes))
-        return failure(error{errc::bad_image, "unreadable image of the control group"});
+    if (!image.ParseFromString(serialized))
+        return failure(error{errc::bad_image, "can't parse the state image of the control group"});
     control_state loaded;
     for (const schema::change_record& change : image.changes()) {
         loaded.versions_by_change_[change.change_id()] = change.version();
--- a/lib/state/job_commands.cpp
+++ b/lib/state/job_commands.cpp
@@ -1,4 +1,4 @@
-// How commands change jobs and items.
+// Commands on jobs and items.
 
 #include "cassia/base/digest.h"
 #include "cassia/schema/messages.pb.h"
@@ -9,22 +9,22 @@
 namespace cassia::state {
 
 namespace {
-constexpr std::uint8_t strikes_until_failed = 2;
-constexpr std::uint16_t most_attempts_counted = 65535;
+constexpr std::uint8_t max_strikes = 2;
+constexpr std::uint16_t max_counted_attempts = 65535;
 } // namespace
 
-static bool is_open(const batch_job& job) {
+static bool is_active(const batch_job& job) {
     return job.status == job_status::queued || job.status == job_status::running;
 }
 
-static schema::work_reply missing(const std::string& what) {
+static schema::work_reply missing(const std::string& detail) {
     schema::work_reply reply;
     reply.set_result(schema::work_reply::missing);
-    reply.set_detail(what);
+    reply.set_detail(detail);
     return reply;
 }
 
-static schema::work_reply view_of(const batch_job& job) {
+static schema::work_reply reply_with_view(const batch_job& job) {
     schema::work_reply reply;
     fill_job_view(job, *reply.mutable_job());
     return reply;
@@ -34,12 +34,13 @@
     const job_id id(begin.job());
     auto found = jobs_.find(id);
     if (found != jobs_.end() && found->second.status != job_status::loading) {
-        schema::work_reply reply = view_of(found->second);
-        const bool same = found->second.fingerprint == begin.fingerprint();
-        reply.set_result(same ? schema::work_reply::replay : schema::work_reply::key_reused);
+        schema::work_reply reply = reply_with_view(found->second);
+        const bool same_content = found->second.fingerprint == begin.fingerprint();
+        reply.set_result(same_content ? schema::work_reply::replay
+                                      : schema::work_reply::key_reused);
         return reply;
     }
-    // A submission that broke off before its commit starts anew.
+    // Replaces a job whose earlier submission was interrupted before its commit.
     batch_job job;
     job.id = id;
     job.team = team_id(begin.team());
@@ -54,12 +55,12 @@
     job.max_failures = begin.max_failures();
     job.listed = begin.listed();
     job.items.resize(begin.total());
-    schema::work_reply reply = view_of(job);
+    schema::work_reply reply = reply_with_view(job);
     jobs_[id] = std::move(job);
     return reply;
 }
 
-static std::uint16_t service_place(batch_job& job, const std::string& service) {
+static std::uint16_t find_or_add_service(batch_job& job, const std::string& service) {
     auto found = std::find(job.services.begin(), job.services.end(), service);
     if (found == job.services.end()) {
         job.services.push_back(service);
@@ -70,28 +71,28 @@
 }
 
 schema::work_reply work_state::add_items(const schema::job_items& added,
-                                         const storage::position& at) {
+                                         const storage::position& position) {
     auto found = jobs_.find(job_id(added.job()));
     if (found == jobs_.end())
         return missing("job");
     batch_job& job = found->second;
     const std::size_t end = added.first() + static_cast<std::size_t>(added.items_size());
-    // A resent part, or one that two entries sent for the same job, adds nothing.
+    // A part that was resent, or that a second entry sent for the same job, is ignored.
     if (job.status != job_status::loading || added.first() != job.loaded || end > job.items.size())
-        return view_of(job);
+        return reply_with_view(job);
     for (int i = 0; i < added.items_size(); ++i) {
         const std::uint32_t ordinal = added.first() + static_cast<std::uint32_t>(i);
         batch_item& item = job.items[ordinal];
-        item.body = at;
+        item.body = position;
         item.body_ordinal = static_cast<std::uint32_t>(i);
         item.repeatable = added.items(i).repeatable();
-        item.custom_hash = stable_hash(added.items(i).custom_id());
-        item.service = service_place(job, added.items(i).service());
+        item.custom_id_hash = stable_hash(added.items(i).custom_id());
+        item.service = find_or_add_service(job, added.items(i).service());
         item.tokens = added.items(i).tokens();
         job.waiting_tokens += item.tokens;
     }
     job.loaded = static_cast<std::uint32_t>(end);
-    return view_of(job);
+    return reply_with_view(job);
 }
 
 schema::work_reply work_state::commit_job(const schema::job_commit& commit) {
@@ -100,29 +101,29 @@
         return missing("job");
     batch_job& job = found->second;
     if (job.status != job_status::loading)
-        return view_of(job);
+        return reply_with_view(job);
     if (job.loaded != job.items.size())
         return missing("items");
     job.status = job_status::queued;
     for (std::uint32_t ordinal = 0; ordinal < job.items.size(); ++ordinal)
         job.pending[job.items[ordinal].service].push_back(ordinal);
-    settle(job, commit.at());
-    return view_of(job);
+    finish_job_if_done(job, commit.at());
+    return reply_with_view(job);
 }
 
 std::uint64_t work_state::waiting_tokens(const std::string& route, const team_id& team) const {
     std::uint64_t sum = 0;
-    for (const std::pair<const job_id, batch_job>& one : jobs_) {
-        if (one.second.route == route && one.second.team == team && is_open(one.second))
-            sum += one.second.waiting_tokens;
+    for (const std::pair<const job_id, batch_job>& job : jobs_) {
+        if (job.second.route == route && job.second.team == team && is_active(job.second))
+            sum += job.second.waiting_tokens;
     }
     return sum;
 }
 
-// Checked where the job is committed: counts that entries keep would let several of them fill the
-// same room at once.
+// The limit is checked against the replicated state: if each entry checked its own counts, several
+// entries could use up the same remaining quota at once.
 schema::work_reply work_state::submit_job(const schema::job_submit& submit,
-                                          const storage::position& at) {
+                                          const storage::position& position) {
     const schema::job_begin& begin = submit.begin();
     auto found = jobs_.find(job_id(begin.job()));
     const bool known = found != jobs_.end() && found->second.status != job_status::loading;
@@ -140,7 +141,7 @@
     schema::work_reply reply = begin_job(begin);
     if (known)
         return reply;
-    add_items(submit.items(), at);
+    add_items(submit.items(), position);
     schema::job_commit commit;
     commit.set_job(begin.job());
     commit.set_at(begin.at());
@@ -154,11 +155,12 @@
     if (!known)
         return missing("job");
     batch_job& job = found->second;
-    if (!is_open(job)) {
-        schema::work_reply reply = view_of(job);
-        const bool cancelled =
+    if (!is_active(job)) {
+        schema::work_reply reply = reply_with_view(job);
+        const bool already_cancelled =
             job.status == job_status::cancelling || job.status == job_status::cancelled;
-        reply.set_result(cancelled ? schema::work_reply::done : schema::work_reply::already_ended);
+        reply.set_result(already_cancelled ? schema::work_reply::done
+                                           : schema::work_reply::already_ended);
         return reply;
     }
     job.status = job_status::cancelling;
@@ -168,8 +170,8 @@
         job.counts.cancelled += static_cast<std::uint32_t>(queue.size());
         queue.clear();
     }
-    settle(job, cancel.at());
-    return view_of(job);
+    finish_job_if_done(job, cancel.at());
+    return reply_with_view(job);
 }
 
 schema::work_reply work_state::lease_items(const schema::item_lease& lease) {
@@ -178,7 +180,7 @@
         return missing("job");
     batch_job& job = found->second;
     schema::work_reply reply;
-    if (!is_open(job))
+    if (!is_active(job))
         return reply;
     for (const std::uint32_t ordinal : lease.ordinals()) {
         if (ordinal >= job.items.size() || job.items[ordinal].status != schema::pending)
@@ -187,7 +189,7 @@
         std::deque<std::uint32_t>& queue = job.pending[item.service];
         queue.erase(std::find(queue.begin(), queue.end(), ordinal));
         item.status = schema::leased;
-        item.attempts = std::min<std::uint16_t>(item.attempts + 1, most_attempts_counted);
+        item.attempts = std::min<std::uint16_t>(item.attempts + 1, max_counted_attempts);
         ++job.counts.running;
         leases_[lease.holder()].insert({job.id, ordinal});
         schema::leased_item* leased = reply.add_leased();
@@ -205,10 +207,10 @@
     return reply;
 }
 
-void work_state::give_back(batch_job& job, std::uint32_t ordinal) {
+void work_state::requeue_or_cancel_item(batch_job& job, std::uint32_t ordinal) {
     batch_item& item = job.items[ordinal];
     --job.counts.running;
-    if (!is_open(job)) {
+    if (!is_active(job)) {
         item.status = schema::cancelled;
         ++job.counts.cancelled;
         return;
@@ -218,63 +220,65 @@
 }
 
 schema::work_reply work_state::end_items(const schema::items_end& ends,
-                                         const storage::position& at) {
+                                         const storage::position& position) {
     for (int i = 0; i < ends.ends_size(); ++i)
-        end_item(ends.ends(i), static_cast<std::uint32_t>(i), ends.holder(), at, ends.at());
+        end_item(ends.ends(i), static_cast<std::uint32_t>(i), ends.holder(), position, ends.at());
     return {};
 }
 
-// An entry that dies, or leaves, takes with it what its items have made so far. Begun anew at other
-// entries they would be late though they had nearly been done; so the next one goes on from here.
-void work_state::keep_progress(batch_item& item, const schema::item_end& end, std::uint32_t place,
-                               const storage::position& at) {
+// Without saved progress, the output of an item would be lost with the entry that runs it. Started
+// from the beginning at another entry, an item that was almost complete would miss its deadline; so
+// the next holder of its lease continues from the saved progress.
+void work_state::save_progress(batch_item& item, const schema::item_end& end,
+                               std::uint32_t end_ordinal, const storage::position& position) {
     const bool has_ended = end.status() != schema::pending && end.status() != schema::leased;
     if (has_ended || end.events() == 0)
         return;
-    item.result = at;
-    item.result_ordinal = place;
+    item.result = position;
+    item.result_ordinal = end_ordinal;
 }
 
-// The first end of an item counts, and only from the holder of its lease: a result that comes
-// from an attempt that was given up would otherwise replace, or double, the one already delivered.
-void work_state::end_item(const schema::item_end& end, std::uint32_t place,
-                          const std::string& holder, const storage::position& at,
+// Only the first end of an item counts, and only if it comes from the holder of the lease.
+// Otherwise a result of an abandoned attempt would replace, or duplicate, one that was already
+// delivered.
+void work_state::end_item(const schema::item_end& end, std::uint32_t end_ordinal,
+                          const std::string& holder, const storage::position& position,
                           std::uint64_t now) {
     auto found = jobs_.find(job_id(end.job()));
     if (found == jobs_.end() || end.ordinal() >= found->second.items.size())
         return;
     batch_job& job = found->second;
     batch_item& item = job.items[end.ordinal()];
-    auto held = leases_.find(holder);
+    auto leases = leases_.find(holder);
     const item_key key{job.id, end.ordinal()};
-    if (held == leases_.end() || held->second.count(key) == 0 || item.attempts != end.attempt())
+    if (leases == leases_.end() || leases->second.count(key) == 0 || item.attempts != end.attempt())
         return;
-    keep_progress(item, end, place, at);
+    save_progress(item, end, end_ordinal, position);
     if (end.status() == schema::leased)
         return;
-    held->second.erase(key);
-    if (held->second.empty())
-        leases_.erase(held);
+    leases->second.erase(key);
+    if (leases->second.empty())
+        leases_.erase(leases);
     if (end.strike())
         ++item.strikes;
     if (job.status == job_status::cancelling) {
-        give_back(job, end.ordinal());
-        settle(job, now);
+        requeue_or_cancel_item(job, end.ordinal());
+        finish_job_if_done(job, now);
         return;
     }
     if (end.failed_run())
         ++item.failures;
-    const bool failed_out = job.max_failures > 0 && item.failures >= job.max_failures;
-    const bool struck_out = failed_out || (end.strike() && item.strikes >= strikes_until_failed);
-    if (end.status() == schema::pending && !struck_out) {
-        give_back(job, end.ordinal());
-        settle(job, now);
+    const bool failed_too_often = job.max_failures > 0 && item.failures >= job.max_failures;
+    const bool must_fail = failed_too_often || (end.strike() && item.strikes >= max_strikes);
+    if (end.status() == schema::pending && !must_fail) {
+        requeue_or_cancel_item(job, end.ordinal());
+        finish_job_if_done(job, now);
         return;
     }
     --job.counts.running;
-    item.status = static_cast<std::uint8_t>(struck_out ? schema::failed : end.status());
-    item.result = at;
-    item.result_ordinal = place;
+    item.status = static_cast<std::uint8_t>(must_fail ? schema::failed : end.status());
+    item.result = position;
+    item.result_ordinal = end_ordinal;
     job.waiting_tokens -= item.tokens;
     if (job.listed)
         job.ended_order.push_back(end.ordinal());
@@ -286,35 +290,36 @@
         ++job.counts.cancelled;
     else
         ++job.counts.failed;
-    settle(job, now);
+    finish_job_if_done(job, now);
 }
 
-// An entry that died held items that may or may not have run. Those that may be repeated run
-// again; the others must not, and nobody can tell any more whether they ran.
-void work_state::lose_holder_items(const std::string& holder, std::uint64_t now) {
-    auto held = leases_.find(holder);
-    if (held == leases_.end())
+// The items of a failed holder may or may not have run. Those that may be repeated are queued
+// again. The others must not run twice and end as unknown, since it can't be determined whether
+// they ran.
+void work_state::revoke_leases(const std::string& holder, std::uint64_t now) {
+    auto leases = leases_.find(holder);
+    if (leases == leases_.end())
         return;
-    const std::set<item_key> lost = std::move(held->second);
-    leases_.erase(held);
-    for (const item_key& key : lost) {
+    const std::set<item_key> revoked = std::move(leases->second);
+    leases_.erase(leases);
+    for (const item_key& key : revoked) {
         auto found = jobs_.find(key.first);
         if (found == jobs_.end())
             continue;
         batch_job& job = found->second;
         batch_item& item = job.items[key.second];
         if (item.repeatable) {
-            give_back(job, key.second);
+            requeue_or_cancel_item(job, key.second);
         } else {
             --job.counts.running;
             item.status = schema::unknown;
             ++job.counts.unknown;
         }
-        settle(job, now);
+        finish_job_if_done(job, now);
     }
 }
 
-void work_state::settle(batch_job& job, std::uint64_t now) {
+void work_state::finish_job_if_done(batch_job& job, std::uint64_t now) {
     const job_counts& counts = job.counts;
     const std::size_t ended =
         std::size_t{counts.completed} + counts.failed + counts.unknown + counts.cancelled;
@@ -333,18 +338,18 @@
 
 std::vector<std::string> work_state::holders() const {
     std::set<std::string> names;
-    for (const std::pair<const std::string, std::set<item_key>>& one : leases_)
-        names.insert(one.first);
-    for (const std::pair<const key_name, idempotency_key>& one : keys_) {
-        if (one.second.status == key_status::running)
-            names.insert(one.second.holder);
+    for (const std::pair<const std::string, std::set<item_key>>& lease : leases_)
+        names.insert(lease.first);
+    for (const std::pair<const key_name, idempotency_key>& key : keys_) {
+        if (key.second.status == key_status::running)
+            names.insert(key.second.holder);
     }
     return {names.begin(), names.end()};
 }
 
 std::set<item_key> work_state::leases_of(const std::string& holder) const {
-    auto held = leases_.find(holder);
-    return held == leases_.end() ? std::set<item_key>() : held->second;
+    auto leases = leases_.find(holder);
+    return leases == leases_.end() ? std::set<item_key>() : leases->second;
 }
 
 } // namespace cassia::state
--- a/lib/state/key_commands.cpp
+++ b/lib/state/key_commands.cpp
@@ -1,8 +1,8 @@
-// How commands change idempotency keys.
+// Commands on idempotency keys.
 //
-// A key is claimed durably before its request is dispatched, and its answer stored before the
-// caller gets it. The claim decides between entries that the same request reaches at once; no
-// cache does.
+// A key is claimed durably before its request is dispatched, and the answer is stored before the
+// caller gets it. If the same request reaches several entries at once, the replicated claim decides
+// which of them runs it, never a local cache.
 
 #include "cassia/schema/messages.pb.h"
 #include "cassia/state/work_state.h"
@@ -33,7 +33,7 @@
     }
     switch (found->second.status) {
     case key_status::running:
-        // The entry resends its own claim when the answer to it got lost.
+        // An entry resends its own claim if the reply to it was lost.
         if (found->second.request != claim.request())
             reply.set_result(schema::work_reply::in_progress);
         break;
@@ -48,7 +48,7 @@
 }
 
 schema::work_reply work_state::finish_key(const schema::key_finish& finish,
-                                          const storage::position& at) {
+                                          const storage::position& position) {
     schema::work_reply reply;
     auto found = keys_.find({finish.team(), finish.key()});
     const bool held = found != keys_.end() && found->second.status == key_status::running &&
@@ -64,23 +64,24 @@
     }
     found->second.at = finish.at();
     found->second.status = finish.outcome_unknown() ? key_status::unknown : key_status::done;
-    found->second.answer = at;
+    found->second.answer = position;
     return reply;
 }
 
-// The entry that held the claim is gone, perhaps after it sent the request on. A request that may
-// be repeated frees its key; for any other the outcome is unknown for good, and a resend that ran
-// it again would run it twice.
-void work_state::lose_holder_keys(const std::string& holder) {
-    for (auto one = keys_.begin(); one != keys_.end();) {
-        const bool lost = one->second.status == key_status::running && one->second.holder == holder;
-        if (lost && one->second.repeatable) {
-            one = keys_.erase(one);
+// The holder of the claim failed and may have dispatched the request before. If the request may be
+// repeated, its key becomes free again. Otherwise the outcome stays unknown, because running a
+// resent request could run it a second time.
+void work_state::revoke_claims(const std::string& holder) {
+    for (auto key = keys_.begin(); key != keys_.end();) {
+        const bool revoked =
+            key->second.status == key_status::running && key->second.holder == holder;
+        if (revoked && key->second.repeatable) {
+            key = keys_.erase(key);
             continue;
         }
-        if (lost)
-            one->second.status = key_status::unknown;
-        ++one;
+        if (revoked)
+            key->second.status = key_status::unknown;
+        ++key;
     }
 }
 
@@ -92,7 +93,8 @@
     storage::result<std::string> record = read(found->second.answer);
     schema::work_command command;
     if (!record || !command.ParseFromString(record.value()) || !command.has_finish())
-        return failure(error{errc::lost_body, "answer of a key"});
+        return failure(
+            error{errc::lost_body, "the log record of a stored answer is missing or damaged"});
     *reply.mutable_answer() = command.finish().answer();
     return success();
 }
--- a/lib/state/work_image.cpp
+++ b/lib/state/work_image.cpp
@@ -1,4 +1,4 @@
-// The work group's state as a snapshot.
+// Saves and loads the state of a work group.
 
 #include "cassia/schema/messages.pb.h"
 #include "cassia/state/work_state.h"
@@ -7,9 +7,9 @@
 
 namespace cassia::state {
 
-static void write_position(const storage::position& place, schema::record_position& out) {
-    out.set_segment(place.segment);
-    out.set_offset(place.offset);
+static void write_position(const storage::position& position, schema::record_position& out) {
+    out.set_segment(position.segment);
+    out.set_offset(position.offset);
 }
 
 static storage::position read_position(const schema::record_position& in) {
@@ -26,7 +26,7 @@
         write_position(item.result, *out.mutable_result());
     out.set_result_ordinal(item.result_ordinal);
     out.set_repeatable(item.repeatable);
-    out.set_custom_hash(item.custom_hash);
+    out.set_custom_hash(item.custom_id_hash);
     out.set_service(item.service);
     out.set_tokens(item.tokens);
     out.set_failures(item.failures);
@@ -42,7 +42,7 @@
     item.result = read_position(in.result());
     item.result_ordinal = in.result_ordinal();
     item.repeatable = in.repeatable();
-    item.custom_hash = in.custom_hash();
+    item.custom_id_hash = in.custom_hash();
     item.service = static_cast<std::uint16_t>(in.service());
     item.tokens = in.tokens();
     item.failures = in.failures();
@@ -52,12 +52,12 @@
 std::string work_state::save() const {
     schema::work_state_image image;
     std::map<item_key, const std::string*> holders;
-    for (const std::pair<const std::string, std::set<item_key>>& one : leases_) {
-        for (const item_key& key : one.second)
-            holders[key] = &one.first;
+    for (const std::pair<const std::string, std::set<item_key>>& lease : leases_) {
+        for (const item_key& key : lease.second)
+            holders[key] = &lease.first;
     }
-    for (const std::pair<const job_id, batch_job>& one : jobs_) {
-        const batch_job& job = one.second;
+    for (const std::pair<const job_id, batch_job>& stored_job : jobs_) {
+        const batch_job& job = stored_job.second;
         schema::job_image* out = image.add_jobs();
         out->set_job(job.id.str());
         out->set_team(job.team.str());
@@ -84,35 +84,37 @@
             if (holder != holders.end())
                 item->set_holder(*holder->second);
         }
-        // The order of what waits is state too: members must lease alike.
+        // The order of pending items is part of the state: members must lease the same items.
         for (const std::deque<std::uint32_t>& queue : job.pending) {
-            schema::pending_image* waiting = out->add_pending();
+            schema::pending_image* pending = out->add_pending();
             for (const std::uint32_t ordinal : queue)
-                waiting->add_ordinals(ordinal);
+                pending->add_ordinals(ordinal);
         }
     }
-    // Members that hold the same keys write the same image, whatever order the keys came in.
-    std::map<key_name, const idempotency_key*> ordered;
-    for (const std::pair<const key_name, idempotency_key>& one : keys_)
-        ordered[one.first] = &one.second;
-    for (const std::pair<const key_name, const idempotency_key*>& entry : ordered) {
-        const std::pair<const key_name&, const idempotency_key&> one{entry.first, *entry.second};
+    // Sorted, so that members that hold the same keys write the same image whatever the order in
+    // which the keys were added.
+    std::map<key_name, const idempotency_key*> sorted_keys;
+    for (const std::pair<const key_name, idempotency_key>& key : keys_)
+        sorted_keys[key.first] = &key.second;
+    for (const std::pair<const key_name, const idempotency_key*>& sorted_key : sorted_keys) {
+        const std::pair<const key_name&, const idempotency_key&> key{sorted_key.first,
+                                                                     *sorted_key.second};
         schema::key_image* out = image.add_keys();
-        out->set_team(one.first.first);
-        out->set_key(one.first.second);
-        out->set_fingerprint(one.second.fingerprint);
-        out->set_holder(one.second.holder);
-        out->set_request(one.second.request);
-        out->set_repeatable(one.second.repeatable);
-        out->set_status(static_cast<std::uint32_t>(one.second.status));
-        out->set_at(one.second.at);
-        out->set_retention_ms(one.second.retention_ms);
-        write_position(one.second.answer, *out->mutable_answer());
+        out->set_team(key.first.first);
+        out->set_key(key.first.second);
+        out->set_fingerprint(key.second.fingerprint);
+        out->set_holder(key.second.holder);
+        out->set_request(key.second.request);
+        out->set_repeatable(key.second.repeatable);
+        out->set_status(static_cast<std::uint32_t>(key.second.status));
+        out->set_at(key.second.at);
+        out->set_retention_ms(key.second.retention_ms);
+        write_position(key.second.answer, *out->mutable_answer());
     }
     return image.SerializeAsString();
 }
 
-static bool is_waiting(const batch_item& item) {
+static bool is_unfinished(const batch_item& item) {
     return item.status == schema::pending || item.status == schema::leased;
 }
 
@@ -161,20 +163,20 @@
         job.pending.emplace_back(queue.ordinals().begin(), queue.ordinals().end());
     job.pending.resize(job.services.size());
     job.items.reserve(static_cast<std::size_t>(in.items_size()));
-    for (const schema::item_image& one : in.items()) {
-        job.items.push_back(read_item(one));
+    for (const schema::item_image& item : in.items()) {
+        job.items.push_back(read_item(item));
         count_item(job, job.items.back());
-        if (is_waiting(job.items.back()))
+        if (is_unfinished(job.items.back()))
             job.waiting_tokens += job.items.back().tokens;
-        if (!one.holder().empty())
-            leases_[one.holder()].insert(
+        if (!item.holder().empty())
+            leases_[item.holder()].insert(
                 {job.id, static_cast<std::uint32_t>(job.items.size() - 1)});
     }
     jobs_[job.id] = std::move(job);
 }
 
-// A snapshot's checksum was right, yet what it says may still not hold together if the process that
-// wrote it was faulty; such a state would fail far from the cause.
+// An image with a correct checksum can still be inconsistent if the process that wrote it was
+// faulty. Loading it would cause errors far from their cause.
 static bool is_consistent(const schema::job_image& in) {
     if (in.loaded() > static_cast<std::uint32_t>(in.items_size()) ||
         in.pending_size() > in.services_size() ||
@@ -190,21 +192,21 @@
                 return false;
         }
     }
-    return std::all_of(in.items().begin(), in.items().end(), [&in](const schema::item_image& one) {
+    return std::all_of(in.items().begin(), in.items().end(), [&in](const schema::item_image& item) {
         const bool loading = in.status() == static_cast<std::uint32_t>(job_status::loading);
-        return one.status() <= schema::cancelled &&
-               (loading || one.service() < static_cast<std::uint32_t>(in.services_size()));
+        return item.status() <= schema::cancelled &&
+               (loading || item.service() < static_cast<std::uint32_t>(in.services_size()));
     });
 }
 
-result<work_state> work_state::load(const std::string& bytes) {
+result<work_state> work_state::load(const std::string& serialized) {
     schema::work_state_image image;
-    if (!image.ParseFromString(bytes))
-        return failure(error{errc::bad_image, "unreadable image of a work group"});
+    if (!image.ParseFromString(serialized))
+        return failure(error{errc::bad_image, "can't parse the state image of a work group"});
     work_state loaded;
     for (const schema::job_image& job : image.jobs()) {
         if (!is_consistent(job))
-            return failure(error{errc::bad_image, "inconsistent image of job " + job.job()});
+            return failure(error{errc::bad_image, "inconsistent state image of job " + job.job()});
         loaded.load_job(job);
     }
     for (const schema::key_image& in : image.keys()) {
--- a/lib/state/work_query.cpp
+++ b/lib/state/work_query.cpp
@@ -1,4 +1,4 @@
-// Reading jobs, items and results.
+// Queries for jobs, items and results.
 
 #include "cassia/base/digest.h"
 #include "cassia/schema/messages.pb.h"
@@ -11,26 +11,27 @@
 
 namespace {
 
-/// Reads commands of the log; neighbouring items mostly share one, so the last is kept.
+/// Reads commands from the log and caches the last one, since neighbouring items mostly share a
+/// command.
 class command_cache {
 public:
     explicit command_cache(const work_state::record_reader& read) : read_(read) {}
 
-    const schema::work_command* at(const storage::position& place) {
-        if (place == place_)
+    const schema::work_command* at(const storage::position& position) {
+        if (position == position_)
             return &command_;
-        storage::result<std::string> record = read_(place);
+        storage::result<std::string> record = read_(position);
         if (!record || !command_.ParseFromString(record.value())) {
-            place_ = storage::position();
+            position_ = storage::position();
             return nullptr;
         }
-        place_ = place;
+        position_ = position;
         return &command_;
     }
 
 private:
     const work_state::record_reader& read_;
-    storage::position place_;
+    storage::position position_;
     schema::work_command command_;
 };
 
@@ -40,11 +41,11 @@
     const schema::work_command* command = bodies.at(item.body);
     if (command == nullptr || !(command->has_items() || command->has_submit()))
         return nullptr;
-    const schema::job_items& part =
+    const schema::job_items& submitted =
         command->has_submit() ? command->submit().items() : command->items();
-    if (item.body_ordinal >= static_cast<std::uint32_t>(part.items_size()))
+    if (item.body_ordinal >= static_cast<std::uint32_t>(submitted.items_size()))
         return nullptr;
-    return &part.items(static_cast<int>(item.body_ordinal));
+    return &submitted.items(static_cast<int>(item.body_ordinal));
 }
 
 static const schema::item_end* find_end(const batch_item& item, command_cache& results) {
@@ -57,8 +58,8 @@
     return &command->ends().ends(static_cast<int>(item.result_ordinal));
 }
 
-// What an item that was cancelled or lost has made so far is no result.
-static bool has_ended(const batch_item& item) {
+// A cancelled item, or one whose outcome is unknown, has no result, even if progress was saved.
+static bool has_result(const batch_item& item) {
     return item.status == schema::completed || item.status == schema::failed;
 }
 
@@ -69,7 +70,7 @@
     out.set_attempts(item.attempts);
     if (const schema::item_body* body = find_body(item, bodies))
         out.set_custom_id(body->custom_id());
-    const schema::item_end* end = has_ended(item) ? find_end(item, results) : nullptr;
+    const schema::item_end* end = has_result(item) ? find_end(item, results) : nullptr;
     if (end != nullptr) {
         out.set_http_status(end->http_status());
         out.set_content_type(end->content_type());
@@ -79,47 +80,49 @@
 
 static void list_results(const batch_job& job, const schema::work_query& query,
                          command_cache& bodies, command_cache& results, schema::work_reply& reply) {
-    // Bounded by bytes too, so that one answer never holds up the group's other work.
-    constexpr std::size_t most_bytes = 4 << 20;
+    // Also limited by bytes, so that a single reply doesn't delay the group's other requests.
+    constexpr std::size_t max_bytes = 4 << 20;
     std::size_t bytes = 0;
     std::uint32_t added = 0;
     for (std::uint32_t i = query.from(); i < job.items.size(); ++i) {
         const std::uint8_t status = job.items[i].status;
         if (status == schema::pending || status == schema::leased)
             continue;
-        if (added >= query.limit() || bytes >= most_bytes)
+        if (added >= query.limit() || bytes >= max_bytes)
             return;
-        schema::item_result* one = reply.add_results();
-        write_result(job.items[i], i, bodies, results, *one);
-        bytes += one->ByteSizeLong();
+        schema::item_result* result = reply.add_results();
+        write_result(job.items[i], i, bodies, results, *result);
+        bytes += result->ByteSizeLong();
         ++added;
     }
 }
 
-// The order of ends is part of the state, so every reader sees a result at the same place.
-static void list_by_end(const batch_job& job, const schema::work_query& query,
-                        command_cache& bodies, command_cache& results, schema::work_reply& reply) {
-    constexpr std::size_t most_bytes = 700UL * 1000; // of a list that may grow to 1 MB as JSON
+// The order in which items ended is part of the state, so a result has the same index for every
+// reader.
+static void list_results_by_end(const batch_job& job, const schema::work_query& query,
+                                command_cache& bodies, command_cache& results,
+                                schema::work_reply& reply) {
+    constexpr std::size_t max_bytes = 700UL * 1000; // encoded as JSON, the list may grow to 1 MB
     std::size_t bytes = 0;
-    for (std::size_t i = query.from(); i < job.ended_order.size() && bytes < most_bytes; ++i) {
+    for (std::size_t i = query.from(); i < job.ended_order.size() && bytes < max_bytes; ++i) {
         const std::uint32_t ordinal = job.ended_order[i];
-        schema::item_result one;
-        write_result(job.items[ordinal], ordinal, bodies, results, one);
-        bytes += one.ByteSizeLong();
-        if (bytes < most_bytes || reply.results_size() == 0)
-            *reply.add_results() = std::move(one);
+        schema::item_result result;
+        write_result(job.items[ordinal], ordinal, bodies, results, result);
+        bytes += result.ByteSizeLong();
+        if (bytes < max_bytes || reply.results_size() == 0)
+            *reply.add_results() = std::move(result);
     }
 }
 
-static bool is_open_item(const batch_item& item) {
+static bool is_unfinished(const batch_item& item) {
     return item.status == schema::pending || item.status == schema::leased;
 }
 
-static std::optional<std::uint32_t> find_custom(const batch_job& job, const std::string& custom_id,
-                                                command_cache& bodies) {
-    const std::uint64_t wanted = stable_hash(custom_id);
+static std::optional<std::uint32_t>
+find_by_custom_id(const batch_job& job, const std::string& custom_id, command_cache& bodies) {
+    const std::uint64_t hash = stable_hash(custom_id);
     for (std::uint32_t i = 0; i < job.items.size(); ++i) {
-        if (job.items[i].custom_hash != wanted)
+        if (job.items[i].custom_id_hash != hash)
             continue;
         const schema::item_body* body = find_body(job.items[i], bodies);
         if (body != nullptr && body->custom_id() == custom_id)
@@ -132,10 +135,10 @@
                                      const record_reader& read) const {
     schema::work_reply reply;
     if (query.kind() == schema::work_query::jobs_of_team) {
-        for (const std::pair<const job_id, batch_job>& one : jobs_) {
-            const bool own = one.second.team.str() == query.team();
-            if (own && one.second.status != job_status::loading)
-                fill_job_view(one.second, *reply.add_jobs());
+        for (const std::pair<const job_id, batch_job>& job : jobs_) {
+            const bool owned_by_team = job.second.team.str() == query.team();
+            if (owned_by_team && job.second.status != job_status::loading)
+                fill_job_view(job.second, *reply.add_jobs());
         }
         return reply;
     }
@@ -153,17 +156,19 @@
     if (query.kind() == schema::work_query::results)
         list_results(job, query, bodies, results, reply);
     if (query.kind() == schema::work_query::listed_results)
-        list_by_end(job, query, bodies, results, reply);
+        list_results_by_end(job, query, bodies, results, reply);
     if (query.kind() == schema::work_query::item_source) {
-        const std::optional<std::uint32_t> ordinal = find_custom(job, query.custom_id(), bodies);
-        if (!ordinal || !is_open_item(job.items[*ordinal])) {
+        const std::optional<std::uint32_t> ordinal =
+            find_by_custom_id(job, query.custom_id(), bodies);
+        if (!ordinal || !is_unfinished(job.items[*ordinal])) {
             reply.set_result(schema::work_reply::missing);
             return reply;
         }
         *reply.mutable_item() = *find_body(job.items[*ordinal], bodies);
     }
     if (query.kind() == schema::work_query::one_item) {
-        const std::optional<std::uint32_t> ordinal = find_custom(job, query.custom_id(), bodies);
+        const std::optional<std::uint32_t> ordinal =
+            find_by_custom_id(job, query.custom_id(), bodies);
         if (!ordinal) {
             reply.set_result(schema::work_reply::missing);
             return reply;
@@ -180,11 +185,13 @@
     for (schema::leased_item& leased : *reply.mutable_leased()) {
         auto found = jobs_.find(job_id(leased.job()));
         if (found == jobs_.end())
-            return failure(error{errc::lost_body, "job " + leased.job()});
+            return failure(error{errc::lost_body, "leased job doesn't exist: " + leased.job()});
         const batch_item& item = found->second.items[leased.ordinal()];
         const schema::item_body* body = find_body(item, bodies);
         if (body == nullptr)
-            return failure(error{errc::lost_body, "item of job " + leased.job()});
+            return failure(
+                error{errc::lost_body,
+                      "the log record of an item is missing or damaged, job " + leased.job()});
         *leased.mutable_item() = *body;
         if (const schema::item_end* progress = find_end(item, results)) {
             leased.set_progress(progress->body());
--- a/lib/state/work_state.cpp
+++ b/lib/state/work_state.cpp
@@ -8,7 +8,8 @@
 namespace cassia::state {
 
 namespace {
-constexpr std::uint64_t loading_patience_ms = 3600ULL * 1000;
+// A job whose submission isn't complete by then is removed.
+constexpr std::uint64_t loading_timeout_ms = 3600ULL * 1000;
 } // namespace
 
 work_state::work_state() = default;
@@ -53,30 +54,30 @@
 }
 
 schema::work_reply work_state::apply(const schema::work_command& command,
-                                     const storage::position& at) {
+                                     const storage::position& position) {
     switch (command.command_case()) {
     case schema::work_command::kBegin:
         return begin_job(command.begin());
     case schema::work_command::kItems:
-        return add_items(command.items(), at);
+        return add_items(command.items(), position);
     case schema::work_command::kCommit:
         return commit_job(command.commit());
     case schema::work_command::kSubmit:
-        return submit_job(command.submit(), at);
+        return submit_job(command.submit(), position);
     case schema::work_command::kCancel:
         return cancel_job(command.cancel());
     case schema::work_command::kLease:
         return lease_items(command.lease());
     case schema::work_command::kEnds:
-        return end_items(command.ends(), at);
+        return end_items(command.ends(), position);
     case schema::work_command::kLost:
-        lose_holder_items(command.lost().holder(), command.lost().at());
-        lose_holder_keys(command.lost().holder());
+        revoke_leases(command.lost().holder(), command.lost().at());
+        revoke_claims(command.lost().holder());
         break;
     case schema::work_command::kClaim:
         return claim_key(command.claim());
     case schema::work_command::kFinish:
-        return finish_key(command.finish(), at);
+        return finish_key(command.finish(), position);
     case schema::work_command::kExpire:
         expire(command.expire().at());
         break;
@@ -88,7 +89,7 @@
 
 static bool is_job_expired(const batch_job& job, std::uint64_t now) {
     if (job.status == job_status::loading)
-        return job.created + loading_patience_ms < now;
+        return job.created + loading_timeout_ms < now;
     return job.ended != 0 && job.ended + job.retention_ms < now;
 }
 
@@ -97,52 +98,53 @@
 }
 
 void work_state::expire(std::uint64_t now) {
-    for (auto one = jobs_.begin(); one != jobs_.end();)
-        one = is_job_expired(one->second, now) ? jobs_.erase(one) : std::next(one);
-    for (auto one = keys_.begin(); one != keys_.end();) {
-        one = is_key_expired(one->second, now) ? keys_.erase(one) : std::next(one);
+    for (auto job = jobs_.begin(); job != jobs_.end();)
+        job = is_job_expired(job->second, now) ? jobs_.erase(job) : std::next(job);
+    for (auto key = keys_.begin(); key != keys_.end();) {
+        key = is_key_expired(key->second, now) ? keys_.erase(key) : std::next(key);
     }
 }
 
 bool work_state::has_expired(std::uint64_t now) const {
-    const bool job = std::any_of(jobs_.begin(), jobs_.end(),
-                                 [now](const std::pair<const job_id, batch_job>& one) {
-                                     return is_job_expired(one.second, now);
-                                 });
-    return job || std::any_of(keys_.begin(), keys_.end(),
-                              [now](const std::pair<const key_name, idempotency_key>& one) {
-                                  return is_key_expired(one.second, now);
-                              });
+    const bool job_expired = std::any_of(jobs_.begin(), jobs_.end(),
+                                         [now](const std::pair<const job_id, batch_job>& job) {
+                                             return is_job_expired(job.second, now);
+                                         });
+    return job_expired || std::any_of(keys_.begin(), keys_.end(),
+                                      [now](const std::pair<const key_name, idempotency_key>& key) {
+                                          return is_key_expired(key.second, now);
+                                      });
 }
 
 std::set<storage::position> work_state::referenced_positions() const {
-    std::set<storage::position> places;
-    for (const std::pair<const job_id, batch_job>& one : jobs_) {
-        for (const batch_item& item : one.second.items) {
-            places.insert(item.body);
-            places.insert(item.result);
+    std::set<storage::position> referenced;
+    for (const std::pair<const job_id, batch_job>& job : jobs_) {
+        for (const batch_item& item : job.second.items) {
+            referenced.insert(item.body);
+            referenced.insert(item.result);
         }
     }
-    for (const std::pair<const key_name, idempotency_key>& one : keys_)
-        places.insert(one.second.answer);
-    places.erase(storage::position());
-    return places;
+    for (const std::pair<const key_name, idempotency_key>& key : keys_)
+        referenced.insert(key.second.answer);
+    referenced.erase(storage::position());
+    return referenced;
 }
 
-void work_state::remap_positions(const std::map<storage::position, storage::position>& places) {
-    const auto move_to = [&places](storage::position& place) {
-        auto found = places.find(place);
-        if (found != places.end())
-            place = found->second;
+void work_state::remap_positions(
+    const std::map<storage::position, storage::position>& new_positions) {
+    const auto remap = [&new_positions](storage::position& position) {
+        auto found = new_positions.find(position);
+        if (found != new_positions.end())
+            position = found->second;
     };
-    for (std::pair<const job_id, batch_job>& one : jobs_) {
-        for (batch_item& item : one.second.items) {
-            move_to(item.body);
-            move_to(item.result);
+    for (std::pair<const job_id, batch_job>& job : jobs_) {
+        for (batch_item& item : job.second.items) {
+            remap(item.body);
+            remap(item.result);
         }
     }
-    for (std::pair<const key_name, idempotency_key>& one : keys_)
-        move_to(one.second.answer);
+    for (std::pair<const key_name, idempotency_key>& key : keys_)
+        remap(key.second.answer);
 }
 
 } // namespace cassia::state
--- a/unittests/state/work_state_test.cpp
+++ b/unittests/state/work_state_test.cpp
@@ -1,4 +1,4 @@
-// Jobs, items and keys under every order of commands.
+// Jobs, items and idempotency keys under different orders of commands.
 
 #include "cassia/schema/messages.pb.h"
 #include "cassia/state/work_state.h"
@@ -13,32 +13,32 @@
 
 namespace {
 
-constexpr std::uint64_t at_time = 1000;
+constexpr std::uint64_t base_time = 1000;
 
-/// A state with a log of its commands, which bodies are read from.
+/// A work group's state with the log of its commands, from which bodies are read.
 class test_group {
 public:
     schema::work_reply apply(const schema::work_command& command) {
-        const storage::position at{1, ++last_};
-        log_[at] = command.SerializeAsString();
-        return state.apply(command, at);
+        const storage::position position{1, ++last_offset_};
+        log_[position] = command.SerializeAsString();
+        return state.apply(command, position);
     }
     work_state::record_reader reader() const {
-        return [this](const storage::position& at) -> storage::result<std::string> {
-            auto found = log_.find(at);
+        return [this](const storage::position& position) -> storage::result<std::string> {
+            auto found = log_.find(position);
             if (found == log_.end())
                 return failure(storage::error{storage::errc::missing, "no record"});
             return found->second;
         };
     }
     schema::work_reply begin(const std::string& job, std::uint32_t total,
-                             const std::string& print = "print") {
+                             const std::string& fingerprint = "print") {
         schema::work_command command;
         command.mutable_begin()->set_job(job);
         command.mutable_begin()->set_team("team");
-        command.mutable_begin()->set_fingerprint(print);
+        command.mutable_begin()->set_fingerprint(fingerprint);
         command.mutable_begin()->set_total(total);
-        command.mutable_begin()->set_at(at_time);
+        command.mutable_begin()->set_at(base_time);
         command.mutable_begin()->set_retention_ms(5000);
         return apply(command);
     }
@@ -59,7 +59,7 @@
     schema::work_reply commit(const std::string& job) {
         schema::work_command command;
         command.mutable_commit()->set_job(job);
-        command.mutable_commit()->set_at(at_time);
+        command.mutable_commit()->set_at(base_time);
         return apply(command);
     }
     void submit(const std::string& job, std::uint32_t total, bool repeatable = true) {
@@ -81,15 +81,15 @@
              bool strike = false) {
         schema::work_command command;
         command.mutable_ends()->set_holder(holder);
-        command.mutable_ends()->set_at(at_time + 1);
-        schema::item_end* one = command.mutable_ends()->add_ends();
-        one->set_job(job);
-        one->set_ordinal(ordinal);
-        one->set_attempt(attempt);
-        one->set_status(status);
-        one->set_http_status(200);
-        one->set_body(body);
-        one->set_strike(strike);
+        command.mutable_ends()->set_at(base_time + 1);
+        schema::item_end* end = command.mutable_ends()->add_ends();
+        end->set_job(job);
+        end->set_ordinal(ordinal);
+        end->set_attempt(attempt);
+        end->set_status(status);
+        end->set_http_status(200);
+        end->set_body(body);
+        end->set_strike(strike);
         apply(command);
     }
     void save_progress(const std::string& job, const std::string& holder, std::uint32_t ordinal,
@@ -97,57 +97,57 @@
                        std::uint64_t events) {
         schema::work_command command;
         command.mutable_ends()->set_holder(holder);
-        schema::item_end* one = command.mutable_ends()->add_ends();
-        one->set_job(job);
-        one->set_ordinal(ordinal);
-        one->set_attempt(attempt);
-        one->set_status(status);
-        one->set_body(body);
-        one->set_events(events);
+        schema::item_end* end = command.mutable_ends()->add_ends();
+        end->set_job(job);
+        end->set_ordinal(ordinal);
+        end->set_attempt(attempt);
+        end->set_status(status);
+        end->set_body(body);
+        end->set_events(events);
         apply(command);
     }
-    schema::leased_item lease_filled(const std::string& job, const std::string& holder) {
+    schema::leased_item lease_first_item(const std::string& job, const std::string& holder) {
         schema::work_reply reply = lease(job, holder, {0});
         REQUIRE(state.fill_leased_items(reply, reader()));
         REQUIRE(reply.leased_size() == 1);
         return reply.leased(0);
     }
-    void lose(const std::string& holder) {
+    void revoke_holder(const std::string& holder) {
         schema::work_command command;
         command.mutable_lost()->set_holder(holder);
-        command.mutable_lost()->set_at(at_time + 2);
+        command.mutable_lost()->set_at(base_time + 2);
         apply(command);
     }
     schema::work_reply cancel(const std::string& job) {
         schema::work_command command;
         command.mutable_cancel()->set_job(job);
         command.mutable_cancel()->set_team("team");
-        command.mutable_cancel()->set_at(at_time + 3);
+        command.mutable_cancel()->set_at(base_time + 3);
         return apply(command);
     }
-    schema::work_reply claim(const std::string& request, const std::string& print, bool repeatable,
-                             const std::string& holder = "entry/1") {
+    schema::work_reply claim(const std::string& request, const std::string& fingerprint,
+                             bool repeatable, const std::string& holder = "entry/1") {
         schema::work_command command;
-        schema::key_claim* claimed = command.mutable_claim();
-        claimed->set_team("team");
-        claimed->set_key("key");
-        claimed->set_fingerprint(print);
-        claimed->set_request(request);
-        claimed->set_holder(holder);
-        claimed->set_repeatable(repeatable);
+        schema::key_claim* key_claim = command.mutable_claim();
+        key_claim->set_team("team");
+        key_claim->set_key("key");
+        key_claim->set_fingerprint(fingerprint);
+        key_claim->set_request(request);
+        key_claim->set_holder(holder);
+        key_claim->set_repeatable(repeatable);
         return apply(command);
     }
     schema::work_reply finish(const std::string& request, const std::string& body,
                               bool release = false) {
         schema::work_command command;
-        schema::key_finish* finished = command.mutable_finish();
-        finished->set_team("team");
-        finished->set_key("key");
-        finished->set_holder("entry/1");
-        finished->set_request(request);
-        finished->set_release(release);
-        finished->mutable_answer()->set_status(200);
-        finished->mutable_answer()->set_body(body);
+        schema::key_finish* key_finish = command.mutable_finish();
+        key_finish->set_team("team");
+        key_finish->set_key("key");
+        key_finish->set_holder("entry/1");
+        key_finish->set_request(request);
+        key_finish->set_release(release);
+        key_finish->mutable_answer()->set_status(200);
+        key_finish->mutable_answer()->set_body(body);
         return apply(command);
     }
     schema::work_reply results(const std::string& job) const {
@@ -164,7 +164,7 @@
 
 private:
     std::map<storage::position, std::string> log_;
-    std::uint64_t last_ = 0;
+    std::uint64_t last_offset_ = 0;
 };
 
 } // namespace
@@ -177,15 +177,15 @@
     for (std::uint32_t i = 0; i < 3; ++i)
         group.end("job", "entry/1", i, 1, schema::completed, "answer " + std::to_string(i));
     CHECK(group.job("job").status == job_status::completed);
-    const schema::work_reply read = group.results("job");
-    REQUIRE(read.results_size() == 3);
-    CHECK(read.results(2).custom_id() == "c2");
-    CHECK(read.results(2).body() == "answer 2");
+    const schema::work_reply reply = group.results("job");
+    REQUIRE(reply.results_size() == 3);
+    CHECK(reply.results(2).custom_id() == "c2");
+    CHECK(reply.results(2).body() == "answer 2");
 }
 
-// Story: a cohort is submitted, the answer is lost, the client resends it, and the cohort runs
-// twice.
-TEST_CASE("a resent submission is the same job", "[state]") {
+// Guards against a job that runs twice because its client resent the submission after the response
+// to the first one was lost.
+TEST_CASE("a resent submission doesn't create a second job", "[state]") {
     test_group group;
     group.submit("job", 2);
     CHECK(group.begin("job", 2).result() == schema::work_reply::replay);
@@ -196,7 +196,7 @@
     CHECK(group.job("job").pending[0].size() == 2);
 }
 
-TEST_CASE("a submission without all its items isn't accepted", "[state]") {
+TEST_CASE("a job isn't committed before all its items have been submitted", "[state]") {
     test_group group;
     group.begin("job", 4);
     group.add_items("job", 0, 2);
@@ -207,16 +207,16 @@
     CHECK(group.commit("job").result() == schema::work_reply::done);
 }
 
-// Story: a reviewer reads a result, and later reads another one for the same item. The entry that
-// was thought dead ended the item after the entry that took over.
-TEST_CASE("the first end of an item counts, and only from its holder", "[state]") {
+// Guards against a result that changes after it was read: an entry whose leases were revoked ends
+// the item after the entry that took it over.
+TEST_CASE("only the first end of an item from the holder of its lease counts", "[state]") {
     test_group group;
     group.submit("job", 1);
     group.lease("job", "entry/1", {0});
-    group.lose("entry/1");
-    const schema::work_reply again = group.lease("job", "entry/2", {0});
-    REQUIRE(again.leased_size() == 1);
-    REQUIRE(again.leased(0).attempt() == 2);
+    group.revoke_holder("entry/1");
+    const schema::work_reply second_lease = group.lease("job", "entry/2", {0});
+    REQUIRE(second_lease.leased_size() == 1);
+    REQUIRE(second_lease.leased(0).attempt() == 2);
     group.end("job", "entry/1", 0, 1, schema::completed, "late");
     CHECK(group.job("job").counts.completed == 0);
     group.end("job", "entry/2", 0, 2, schema::completed, "first");
@@ -225,19 +225,19 @@
     CHECK(group.job("job").counts.completed == 1);
 }
 
-// Story: all VMs lose power, and the summaries of a job that had nearly been done come long after
-// the job was due. The entries kept what an item had made to themselves, so it began anew.
-TEST_CASE("an item goes on at another entry behind what the last one saved", "[state]") {
+// Guards against a job that misses its deadline after all VMs lost power: if entries kept the
+// output of unfinished items in memory only, those items would start from the beginning.
+TEST_CASE("an item continues at another entry from its saved progress", "[state]") {
     test_group group;
     group.submit("job", 1);
-    CHECK(group.lease_filled("job", "entry/1").events() == 0);
+    CHECK(group.lease_first_item("job", "entry/1").events() == 0);
     group.save_progress("job", "entry/1", 0, 1, schema::leased, "a", 1);
     group.save_progress("job", "entry/1", 0, 1, schema::leased, "a\nb", 2);
     CHECK(group.job("job").items[0].status == schema::leased);
     CHECK(group.results("job").results_size() == 0);
-    group.lose("entry/1");
+    group.revoke_holder("entry/1");
     group.save_progress("job", "entry/1", 0, 1, schema::leased, "stale", 3);
-    const schema::leased_item second = group.lease_filled("job", "entry/2");
+    const schema::leased_item second = group.lease_first_item("job", "entry/2");
     CHECK(second.progress() == "a\nb");
     CHECK(second.events() == 2);
 
@@ -245,13 +245,13 @@
     result<work_state> loaded = work_state::load(group.state.save());
     REQUIRE(loaded);
     group.state = std::move(loaded.value());
-    CHECK(group.lease_filled("job", "entry/3").progress() == "a\nb\nc");
+    CHECK(group.lease_first_item("job", "entry/3").progress() == "a\nb\nc");
     group.end("job", "entry/3", 0, 3, schema::completed, "whole");
     CHECK(group.results("job").results(0).body() == "whole");
 }
 
-// Story: a caller that cancelled a job reads half an answer as the result of an item.
-TEST_CASE("what a cancelled item had made is no result", "[state]") {
+// Guards against a caller that cancels a job and reads partial output as the result of an item.
+TEST_CASE("saved progress of a cancelled item isn't returned as its result", "[state]") {
     test_group group;
     group.submit("job", 1);
     group.lease("job", "entry/1", {0});
@@ -263,20 +263,21 @@
     CHECK(group.results("job").results(0).status() == schema::cancelled);
 }
 
-// Story: organisers get a digest twice. The entry that held the item died after it had sent it.
-TEST_CASE("an item that must not run twice ends as unknown when its holder is lost", "[state]") {
+// Guards against an item that runs twice though it must not: its holder failed after it had
+// dispatched the item.
+TEST_CASE("an unrepeatable item ends as unknown when its holder fails", "[state]") {
     test_group group;
     group.submit("job", 1, false);
     group.lease("job", "entry/1", {0});
-    group.lose("entry/1");
+    group.revoke_holder("entry/1");
     CHECK(group.lease("job", "entry/2", {0}).leased_size() == 0);
     CHECK(group.job("job").counts.unknown == 1);
     CHECK(group.job("job").ended != 0);
 }
 
-// Story: a cancelled cohort goes on. An item that was given back after the cancellation waited
-// again, and another entry took it.
-TEST_CASE("nothing of a cancelled job is leased or kept", "[state]") {
+// Guards against a cancelled job that continues: an item that is returned after the cancellation is
+// queued again and leased to another entry.
+TEST_CASE("items of a cancelled job are neither leased nor completed", "[state]") {
     test_group group;
     group.submit("job", 3);
     group.lease("job", "entry/1", {0, 1});
@@ -291,7 +292,7 @@
     CHECK(group.cancel("job").result() == schema::work_reply::done);
 }
 
-TEST_CASE("an item that crashed two endpoints ends as failed", "[state]") {
+TEST_CASE("an item fails after two endpoints died while they ran it", "[state]") {
     test_group group;
     group.submit("job", 1);
     group.lease("job", "entry/1", {0});
@@ -302,8 +303,8 @@
     CHECK(group.job("job").counts.failed == 1);
 }
 
-// Story: a digest is sent twice because its caller resent it, once through each of two entries.
-TEST_CASE("a key lets one request run and replays its answer", "[state]") {
+// Guards against a request that runs twice because its caller resent it through another entry.
+TEST_CASE("only one request with a key runs, and its answer is replayed", "[state]") {
     test_group group;
     CHECK(group.claim("r-1", "print", false).result() == schema::work_reply::done);
     CHECK(group.claim("r-2", "print", false).result() == schema::work_reply::in_progress);
@@ -317,32 +318,35 @@
     CHECK(replay.answer().body() == "sent");
 }
 
-TEST_CASE("a lost claim is free again only if the request may be repeated", "[state]") {
+TEST_CASE("a key is released when its holder fails only if the request may be repeated",
+          "[state]") {
     const bool repeatable = GENERATE(true, false);
     test_group group;
     group.claim("r-1", "print", repeatable);
-    group.lose("entry/1");
+    group.revoke_holder("entry/1");
     CHECK(group.claim("r-2", "print", repeatable, "entry/2").result() ==
           (repeatable ? schema::work_reply::done : schema::work_reply::outcome_unknown));
 }
 
-TEST_CASE("ended jobs go when their retention is over, others stay", "[state]") {
+TEST_CASE("an ended job is removed after its retention period, an unfinished one stays",
+          "[state]") {
     test_group group;
     group.submit("ended", 1);
     group.submit("open", 1);
     group.lease("ended", "entry/1", {0});
     group.end("ended", "entry/1", 0, 1, schema::completed, "answer");
-    CHECK_FALSE(group.state.has_expired(at_time + 4000));
-    REQUIRE(group.state.has_expired(at_time + 10000));
+    CHECK_FALSE(group.state.has_expired(base_time + 4000));
+    REQUIRE(group.state.has_expired(base_time + 10000));
     schema::work_command command;
-    command.mutable_expire()->set_at(at_time + 10000);
+    command.mutable_expire()->set_at(base_time + 10000);
     group.apply(command);
     CHECK(group.state.jobs().size() == 1);
 }
 
-// Story: after a restart from a snapshot some items run twice or never, and a member that applied
-// the log differs from one that got the snapshot.
-TEST_CASE("random commands: each item ends once, and a restored state goes on alike", "[state]") {
+// Guards against items that run twice or never after a restart from a snapshot, and against members
+// that diverge because one applied the log and another loaded a snapshot.
+TEST_CASE("under random commands each item ends once, and a loaded state equals the saved one",
+          "[state]") {
     const int seed = GENERATE(range(1, 41));
     INFO("seed " << seed);
     std::mt19937 random(static_cast<unsigned>(seed));
@@ -360,7 +364,7 @@
             group.lease("job", holder, {ordinal, (ordinal + 1) % items});
             break;
         case 2:
-            group.lose(holder);
+            group.revoke_holder(holder);
             break;
         case 3:
             group.end("job", holder, ordinal, attempt, schema::pending, "");
@@ -370,12 +374,12 @@
                       "answer " + std::to_string(step));
             break;
         }
-        const schema::work_reply read = group.results("job");
-        for (const schema::item_result& one : read.results()) {
-            if (one.status() != schema::completed)
+        const schema::work_reply reply = group.results("job");
+        for (const schema::item_result& result : reply.results()) {
+            if (result.status() != schema::completed)
                 continue;
-            const std::string& first = ended.emplace(one.ordinal(), one.body()).first->second;
-            REQUIRE(first == one.body());
+            const std::string& first = ended.emplace(result.ordinal(), result.body()).first->second;
+            REQUIRE(first == result.body());
         }
         REQUIRE(group.job("job").counts.completed == ended.size());
         if (step % 50 == 0) {
@@ -388,8 +392,8 @@
     }
 }
 
-// Story: a keeper crashes when it loads a snapshot whose bytes a disk has changed.
-TEST_CASE("the image decoder takes any bytes", "[state][fuzz]") {
+// Guards against a keeper that crashes when it loads a snapshot that the disk corrupted.
+TEST_CASE("loading a corrupted state image doesn't crash", "[state][fuzz]") {
     constexpr int rounds = 3000;
     const unsigned seed = 4711;
     INFO("seed " << seed);
