--- a/include/cassia/membership/beacon_freshness.h
+++ b/include/cassia/membership/beacon_freshness.h
@@ -1,8 +1,8 @@
-/// Whether this entry may go by the lists it holds.
+/// Whether an entry's configuration may be outdated, judged by the age of the newest beacon.
 ///
-/// The leader of the control group counts a beacon up while a quorum stands behind it, and the
-/// beacon spreads with the gossip. An entry that sees no new one may have been cut off, so that
-/// changes were accepted that it can't know of; it must not serve by its old lists.
+/// The leader of the control group increments the beacon number while it has a quorum, and gossip
+/// spreads the beacon. An entry that sees no new beacon may be partitioned and miss accepted
+/// changes; it must not serve by its old configuration.
 #pragma once
 
 #include "cassia/base/clock.h"
@@ -16,7 +16,7 @@
 public:
     explicit beacon_freshness(milliseconds stale_after) : stale_after_(stale_after) {}
 
-    /// \param age how long ago whoever tells this saw the beacon first.
+    /// Records a beacon. \param age time since the sender first saw it.
     void observe(std::uint64_t term, std::uint64_t beacon, milliseconds age, instant now);
     bool is_stale(instant now) const;
 
@@ -26,9 +26,9 @@
 
 private:
     milliseconds stale_after_;
-    std::pair<std::uint64_t, std::uint64_t> newest_{0, 0};
-    instant seen_at_{};
-    bool ever_ = false;
+    std::pair<std::uint64_t, std::uint64_t> newest_{0, 0}; ///< term and beacon number
+    instant first_seen_{};
+    bool seen_any_ = false;
 };
 
 } // namespace cassia::membership
--- a/include/cassia/membership/endpoint_directory.h
+++ b/include/cassia/membership/endpoint_directory.h
@@ -1,4 +1,5 @@
-/// Which endpoints live, from announcements to any entry and what entries tell each other. Pure.
+/// Known endpoints and whether they are alive, from the announcements that this process receives
+/// and from those that other processes pass on. Does no I/O; the time is passed in.
 #pragma once
 
 #include "cassia/base/clock.h"
@@ -12,54 +13,56 @@
 namespace cassia::membership {
 
 struct endpoint_directory_settings {
-    milliseconds silent_after{3000}; ///< no announcement: no new work
-    milliseconds forget_after{60000};
+    milliseconds silent_after{3000};  ///< time without an announcement until new work stops
+    milliseconds forget_after{60000}; ///< time without an announcement until removal
 };
 
-/// An endpoint as last announced.
+/// An endpoint with its latest announcement.
 struct endpoint_state {
     schema::endpoint_record record;
-    instant last_heard{};         ///< when it last announced itself to any entry
-    instant own_heard{};          ///< when it last announced itself to this one
-    bool leaving = false;         ///< once set it holds for the incarnation
-    std::uint64_t changed_at = 0; ///< revision of the directory when more than its load changed
-    std::uint64_t heard_at = 0;   ///< revision of the directory when it was last heard
+    instant last_heard{};               ///< time of its latest announcement to any process
+    instant last_heard_directly{};      ///< time of its latest announcement to this process
+    bool leaving = false;               ///< takes no new work; final for the incarnation
+    std::uint64_t changed_revision = 0; ///< directory revision of its last change, load apart
+    std::uint64_t heard_revision = 0;   ///< directory revision of its latest announcement
 };
 
 class endpoint_directory {
 public:
     explicit endpoint_directory(endpoint_directory_settings settings) : settings_(settings) {}
 
-    /// The endpoint announced itself to this entry. \returns whether anything but its load changed.
+    /// Merges an announcement made to this process. \returns whether anything but its load changed.
     bool merge_announcement(const schema::endpoint_record& record, instant now);
-    /// Another entry heard the endpoint, `record.age_ms` before it sent this.
+    /// Merges a record passed on by another process; `record.age_ms` is the announcement's age.
+    /// \returns whether anything but its load changed.
     bool merge_remote(const schema::endpoint_record& record, instant now);
-    /// Another entry heard the endpoint again, `pulse.age_ms` before it sent this.
+    /// Merges an announcement that repeated a known record; `pulse.age_ms` is its age.
     void merge_remote(const schema::endpoint_pulse& pulse, instant now);
 
-    /// Endpoints that may get new work.
+    /// Endpoints that may get new work: alive and not leaving.
     std::vector<const endpoint_state*> serving(instant now) const;
-    /// What this entry heard itself, with ages, to tell the others.
+    /// Records announced to this process within `silent_after`, with ages, to pass on to others.
     std::vector<schema::endpoint_record> directly_heard_records(instant now) const;
     const std::map<endpoint_id, endpoint_state>& all() const { return endpoints_; }
-    /// Counts up with each change of an entry, and each time that one is heard.
+    /// Increases with each change of an endpoint and with each announcement.
     std::uint64_t revision() const { return revision_; }
-    /// Counts up with changes only.
+    /// Number of changes; announcements that change nothing don't count.
     std::uint64_t changes() const { return changes_; }
-    /// Whether an endpoint that may get work was last heard longer ago than this.
-    bool misses_any(milliseconds silence, instant now) const;
-    /// Endpoints that were heard behind a revision and didn't change, with ages.
+    /// Whether the latest announcement of any endpoint in service is older than `silence`.
+    bool any_silent_for(milliseconds silence, instant now) const;
+    /// Endpoints announced after a revision without a change, with ages.
     std::vector<schema::endpoint_pulse> pulses_since(std::uint64_t revision, instant now) const;
-    /// Records that changed behind a revision, with ages.
+    /// Records that changed after a revision, with ages.
     std::vector<schema::endpoint_record> records_since(std::uint64_t revision, instant now) const;
 
+    /// Removes endpoints that haven't been heard for `forget_after`.
     void forget_old(instant now);
 
 private:
     bool merge(const schema::endpoint_record& record, instant heard);
-    void store(endpoint_state& entry, const schema::endpoint_record& record, instant heard);
-    void note_change(endpoint_state& entry);
-    void end_predecessors(const schema::endpoint_record& record);
+    void store(endpoint_state& endpoint, const schema::endpoint_record& record, instant heard);
+    void note_change(endpoint_state& endpoint);
+    void retire_replaced_endpoints(const schema::endpoint_record& record);
 
     endpoint_directory_settings settings_;
     std::map<endpoint_id, endpoint_state> endpoints_;
--- a/include/cassia/membership/entry_list.h
+++ b/include/cassia/membership/entry_list.h
@@ -1,4 +1,4 @@
-/// The entries that callers may be told of.
+/// An entry's list of the entries of the cluster, itself included.
 #pragma once
 
 #include "cassia/base/clock.h"
@@ -14,33 +14,34 @@
 public:
     explicit entry_list(milliseconds silent_after) : silent_after_(silent_after) {}
 
-    /// \param age how long ago the entry itself said so.
+    /// Records a hello. \param age time since the entry itself sent it.
     void observe(const schema::entry_hello& hello, milliseconds age, instant now);
 
-    /// Entries that live: neither silent nor superseded by a later incarnation.
+    /// Entries heard within `silent_after`, each in its latest incarnation.
     std::vector<const schema::entry_hello*> alive(instant now) const;
-    /// Those of them that take new requests.
+    /// Alive entries that accept new requests: neither draining nor stale.
     std::vector<const schema::entry_hello*> accepting(instant now) const;
-    /// Counts up when the open ones change.
+    /// Version of the list of accepting entries; increases when that list has changed.
     std::uint64_t version(instant now);
 
+    /// Removes entries that haven't been heard for a minute.
     void forget_old(instant now);
 
 private:
     struct known_entry {
         schema::entry_hello hello;
-        instant seen{};
+        instant last_seen{};
     };
 
     milliseconds silent_after_;
     std::map<entry_id, known_entry> entries_;
-    std::vector<std::string> last_open_;
+    std::vector<std::string> last_accepting_;
     std::uint64_t version_ = 0;
 };
 
-/// The one entry that sends batch items to an endpoint: rendezvous hashing over the live entries,
-/// those of its own zone before others, so that each can work it out alone and few endpoints move
-/// when an entry comes or goes.
+/// The steward of an endpoint: the only entry that sends batch items to it. Chosen by rendezvous
+/// hashing over the alive entries, preferring those in the endpoint's zone, so that every entry
+/// gets the same result without coordination and few endpoints move when an entry joins or leaves.
 entry_id steward_of(const endpoint_id& endpoint, const std::string& zone,
                     const std::vector<const schema::entry_hello*>& entries);
 
--- a/include/cassia/membership/entry_roster.h
+++ b/include/cassia/membership/entry_roster.h
@@ -1,5 +1,6 @@
-/// The entries of a large fleet, passed on as changes: a keeper's list with revisions, and an
-/// entry's copy of the list of one keeper at a time. Pure.
+/// Incremental distribution of the list of entries in a large fleet: a keeper's list, which has
+/// revisions, and an entry's copy of the list of one keeper at a time. Does no I/O; the time is
+/// passed in.
 #pragma once
 
 #include "cassia/base/clock.h"
@@ -12,48 +13,50 @@
 
 namespace cassia::membership {
 
-/// A keeper's list of the entries that live.
+/// A keeper's list of the alive entries.
 class entry_roster {
 public:
-    /// \param epoch names this list; another one after a restart of the keeper.
-    /// \param silent_after without a hello for this long an entry doesn't live.
+    /// \param epoch identifies this list; differs after a restart of the keeper.
+    /// \param silent_after time without a hello after which an entry counts as lost.
     entry_roster(std::uint64_t epoch, milliseconds silent_after)
         : epoch_(epoch), silent_after_(silent_after) {}
 
     void observe(const schema::entry_hello& hello, instant now);
-    /// Notes who fell silent.
+    /// Marks the entries that fell silent as lost, and removes those lost for long.
     void mark_lost(instant now);
     std::uint64_t revision() const { return revision_; }
-    /// Writes what a listener lacks that has this list up to a revision.
+    /// Writes to a beacon what changed since `revision` of the list with this epoch, or the whole
+    /// list if its changes since then aren't known.
     void write(std::uint64_t epoch, std::uint64_t revision, schema::keeper_beacon& beacon,
                instant now) const;
 
 private:
-    struct member {
+    struct known_entry {
         schema::entry_hello hello;
-        instant seen{};
-        std::uint64_t changed_at = 0; ///< revision
+        instant last_seen{};
+        std::uint64_t changed_revision = 0; ///< revision of its last change
         bool lost = false;
     };
 
     std::uint64_t epoch_;
     milliseconds silent_after_;
-    std::map<std::string, member> members_;
+    std::map<std::string, known_entry> entries_;
     std::uint64_t revision_ = 1;
-    std::uint64_t forgotten_at_ = 0; ///< revision up to which lost members were forgotten
+    std::uint64_t forgotten_revision_ = 0; ///< newest change of any removed entry
 };
 
 /// An entry's copy of a keeper's list.
 class roster_copy {
 public:
-    /// \param self not listed.
+    /// \param self name of this entry, which is left out of the list.
     explicit roster_copy(std::string self) : self_(std::move(self)) {}
 
-    /// The keeper to copy from, from now on.
+    /// Sets the keeper to copy from.
     void follow(const peer_address& source);
-    /// What the source is told, so that it sends what is missing.
+    /// Writes the epoch and revision of this copy, so that the keeper sends what changed since.
     void write(schema::entry_hello& hello) const;
-    /// \returns whether the list changed.
+    /// Applies the list, or its changes, in a beacon of the keeper. \returns whether the list
+    /// changed.
     bool apply_beacon(const peer_address& keeper, const schema::keeper_beacon& beacon);
     const std::map<entry_id, schema::entry_hello>& entries() const { return entries_; }
 
--- a/include/cassia/membership/followed_keeper.h
+++ b/include/cassia/membership/followed_keeper.h
@@ -1,5 +1,6 @@
-/// The one keeper of the control group that an entry hears closely, so that what keepers send
-/// doesn't grow with entries times keepers. Pure.
+/// Selects the one keeper of the control group from which an entry gets frequent beacons. With one
+/// keeper for each entry, the keepers' traffic doesn't grow with entries times keepers. Does no
+/// I/O; the time is passed in.
 #pragma once
 
 #include "cassia/base/clock.h"
@@ -12,17 +13,19 @@
 
 class followed_keeper {
 public:
-    /// \param self spreads the entries of a zone over its keepers.
+    /// \param self name of this entry; its hash distributes entries over the keepers of a zone.
     followed_keeper(std::string self, zone_id zone)
         : self_(std::move(self)), zone_(std::move(zone)) {}
 
-    /// A keeper answered. \param in_touch whether it hears the leader of its group.
+    /// Records a reply of a keeper. \param in_touch whether the keeper leads the control group or
+    /// hears its leader.
     void record_reply(const peer_address& keeper, bool in_touch, instant now);
     void set_zone(const peer_address& keeper, zone_id zone);
     void forget(const peer_address& keeper);
-    /// The keeper to follow now; one out of touch if there is no other; empty if none was heard.
+    /// The keeper to follow now. Prefers keepers in touch with the leader; empty if no keeper is
+    /// usable.
     const peer_address& choose(instant now);
-    /// Whether the keeper chosen hears the leader of its group.
+    /// Whether the chosen keeper leads the control group or hears its leader.
     bool is_in_touch() const;
 
 private:
@@ -33,8 +36,8 @@
         instant avoided_until{};
     };
 
-    peer_address best(bool in_touch, instant now) const;
-    bool is_usable(const peer_address& keeper, const candidate& one, instant now) const;
+    peer_address best_candidate(bool in_touch, instant now) const;
+    bool is_usable(const peer_address& keeper, const candidate& state, instant now) const;
 
     std::string self_;
     zone_id zone_;
--- a/lib/membership/entry_list.cpp
+++ b/lib/membership/entry_list.cpp
@@ -8,68 +8,69 @@
 namespace cassia::membership {
 
 namespace {
-constexpr milliseconds forgotten_after(60000);
+constexpr milliseconds forget_after(60000);
 } // namespace
 
 void entry_list::observe(const schema::entry_hello& hello, milliseconds age, instant now) {
     known_entry& known = entries_[entry_id(hello.entry())];
-    const instant seen = now - age;
+    const instant seen_at = now - age;
     const bool newer = hello.incarnation() > known.hello.incarnation();
-    const bool same = hello.incarnation() == known.hello.incarnation();
-    if (newer || (same && seen >= known.seen)) {
+    const bool same_incarnation = hello.incarnation() == known.hello.incarnation();
+    if (newer || (same_incarnation && seen_at >= known.last_seen)) {
         known.hello = hello;
-        known.seen = seen;
+        known.last_seen = seen_at;
     }
 }
 
 std::vector<const schema::entry_hello*> entry_list::alive(instant now) const {
     std::vector<const schema::entry_hello*> out;
-    for (const std::pair<const entry_id, known_entry>& one : entries_) {
-        if (now - one.second.seen < silent_after_)
-            out.push_back(&one.second.hello);
+    for (const std::pair<const entry_id, known_entry>& known : entries_) {
+        if (now - known.second.last_seen < silent_after_)
+            out.push_back(&known.second.hello);
     }
     return out;
 }
 
 std::vector<const schema::entry_hello*> entry_list::accepting(instant now) const {
     std::vector<const schema::entry_hello*> out;
-    for (const schema::entry_hello* one : alive(now)) {
-        if (!one->draining() && !one->stale())
-            out.push_back(one);
+    for (const schema::entry_hello* hello : alive(now)) {
+        if (!hello->draining() && !hello->stale())
+            out.push_back(hello);
     }
     return out;
 }
 
 std::uint64_t entry_list::version(instant now) {
     std::vector<std::string> names;
-    for (const schema::entry_hello* one : accepting(now))
-        names.push_back(one->entry() + "/" + std::to_string(one->incarnation()));
-    if (names != last_open_) {
-        last_open_ = std::move(names);
+    for (const schema::entry_hello* hello : accepting(now))
+        names.push_back(hello->entry() + "/" + std::to_string(hello->incarnation()));
+    if (names != last_accepting_) {
+        last_accepting_ = std::move(names);
         ++version_;
     }
     return version_;
 }
 
 void entry_list::forget_old(instant now) {
-    for (auto one = entries_.begin(); one != entries_.end();)
-        one = now - one->second.seen > forgotten_after ? entries_.erase(one) : std::next(one);
+    for (auto known = entries_.begin(); known != entries_.end();)
+        known =
+            now - known->second.last_seen > forget_after ? entries_.erase(known) : std::next(known);
 }
 
 entry_id steward_of(const endpoint_id& endpoint, const std::string& zone,
                     const std::vector<const schema::entry_hello*>& entries) {
     std::tuple<bool, std::uint64_t> best{false, 0};
-    entry_id chosen;
-    for (const schema::entry_hello* one : entries) {
-        const bool near = one->zone() == zone;
+    entry_id steward;
+    for (const schema::entry_hello* entry : entries) {
+        const bool same_zone = entry->zone() == zone;
         const std::tuple<bool, std::uint64_t> rank{
-            near, stable_hash(endpoint.str() + "\n" + one->entry())};
-        if (chosen.empty() || rank > best) {
+            same_zone, stable_hash(endpoint.str() + "\n" + entry->entry())};
+        if (steward.empty() || rank > best) {
             best = rank;
-            chosen = entry_id(one->entry());
+            steward = entry_id(entry->entry());
         }
     }
-    return chosen;
+    return steward;
 }
 
 } // namespace cassia::membership
--- a/lib/membership/entry_roster.cpp
+++ b/lib/membership/entry_roster.cpp
@@ -6,39 +6,39 @@
 namespace cassia::membership {
 
 namespace {
-constexpr milliseconds lost_forgotten_after(60000);
+constexpr milliseconds forget_lost_after(60000);
 } // namespace
 
-static bool same_for_others(const schema::entry_hello& a, const schema::entry_hello& b) {
+static bool same_listed_fields(const schema::entry_hello& a, const schema::entry_hello& b) {
     return a.incarnation() == b.incarnation() && a.peer_address() == b.peer_address() &&
            a.zone() == b.zone() && a.draining() == b.draining();
 }
 
 void entry_roster::observe(const schema::entry_hello& hello, instant now) {
-    member& known = members_[hello.entry()];
+    known_entry& known = entries_[hello.entry()];
     const bool changed =
-        known.changed_at == 0 || known.lost || !same_for_others(known.hello, hello);
-    known.seen = now;
+        known.changed_revision == 0 || known.lost || !same_listed_fields(known.hello, hello);
+    known.last_seen = now;
     if (!changed)
         return;
     known.hello = hello;
     known.lost = false;
-    known.changed_at = ++revision_;
+    known.changed_revision = ++revision_;
 }
 
 void entry_roster::mark_lost(instant now) {
-    for (auto one = members_.begin(); one != members_.end();) {
-        member& known = one->second;
-        const microseconds silence = now - known.seen;
+    for (auto it = entries_.begin(); it != entries_.end();) {
+        known_entry& known = it->second;
+        const microseconds silence = now - known.last_seen;
         if (!known.lost && silence >= silent_after_) {
             known.lost = true;
-            known.changed_at = ++revision_;
+            known.changed_revision = ++revision_;
         }
-        if (known.lost && silence >= lost_forgotten_after) {
-            forgotten_at_ = std::max(forgotten_at_, known.changed_at);
-            one = members_.erase(one);
+        if (known.lost && silence >= forget_lost_after) {
+            forgotten_revision_ = std::max(forgotten_revision_, known.changed_revision);
+            it = entries_.erase(it);
         } else {
-            ++one;
+            ++it;
         }
     }
 }
@@ -47,25 +47,25 @@
                          instant now) const {
     beacon.set_entries_epoch(epoch_);
     beacon.set_entries_revision(revision_);
-    const bool all = epoch != epoch_ || revision < forgotten_at_ || revision == 0;
-    beacon.set_all_entries(all);
-    for (const std::pair<const std::string, member>& one : members_) {
-        const member& known = one.second;
-        if (!all && known.changed_at <= revision)
+    const bool whole_list = epoch != epoch_ || revision < forgotten_revision_ || revision == 0;
+    beacon.set_all_entries(whole_list);
+    for (const std::pair<const std::string, known_entry>& named_entry : entries_) {
+        const known_entry& known = named_entry.second;
+        if (!whole_list && known.changed_revision <= revision)
             continue;
         if (known.lost) {
-            if (!all)
-                beacon.add_lost_entries(one.first);
+            if (!whole_list)
+                beacon.add_lost_entries(named_entry.first);
             continue;
         }
-        schema::entry_hello* told = beacon.add_entries();
-        told->set_entry(one.first);
-        told->set_incarnation(known.hello.incarnation());
-        told->set_peer_address(known.hello.peer_address());
-        told->set_zone(known.hello.zone());
-        told->set_draining(known.hello.draining());
-        told->set_age_ms(static_cast<std::uint32_t>(
-            std::chrono::duration_cast<milliseconds>(now - known.seen).count()));
+        schema::entry_hello* hello = beacon.add_entries();
+        hello->set_entry(named_entry.first);
+        hello->set_incarnation(known.hello.incarnation());
+        hello->set_peer_address(known.hello.peer_address());
+        hello->set_zone(known.hello.zone());
+        hello->set_draining(known.hello.draining());
+        hello->set_age_ms(static_cast<std::uint32_t>(
+            std::chrono::duration_cast<milliseconds>(now - known.last_seen).count()));
     }
 }
 
@@ -85,7 +85,7 @@
 bool roster_copy::apply_beacon(const peer_address& keeper, const schema::keeper_beacon& beacon) {
     if (keeper != source_ || beacon.entries_revision() == 0)
         return false;
-    // A late beacon would take back what a newer one has told.
+    // A beacon that arrives out of order must not undo the changes of a newer one.
     const bool other_list = beacon.entries_epoch() != epoch_;
     if (!other_list && beacon.entries_revision() < revision_)
         return false;
@@ -95,12 +95,12 @@
     revision_ = beacon.entries_revision();
     if (beacon.all_entries())
         entries_.clear();
-    for (const schema::entry_hello& one : beacon.entries()) {
-        if (one.entry() != self_)
-            entries_[entry_id(one.entry())] = one;
+    for (const schema::entry_hello& hello : beacon.entries()) {
+        if (hello.entry() != self_)
+            entries_[entry_id(hello.entry())] = hello;
     }
-    for (const std::string& one : beacon.lost_entries())
-        entries_.erase(entry_id(one));
+    for (const std::string& name : beacon.lost_entries())
+        entries_.erase(entry_id(name));
     return beacon.all_entries() || beacon.entries_size() > 0 || beacon.lost_entries_size() > 0;
 }
 
--- a/lib/membership/followed_keeper.cpp
+++ b/lib/membership/followed_keeper.cpp
@@ -8,17 +8,18 @@
 namespace cassia::membership {
 
 namespace {
-// The keeper followed answers four times a second.
-constexpr milliseconds followed_missed_after(800);
-// The others answer once in two seconds.
-constexpr milliseconds other_missed_after(4500);
-constexpr milliseconds failed_avoided(5000);
+// The followed keeper replies four times a second.
+constexpr milliseconds followed_silent_after(800);
+// The other keepers reply every two seconds.
+constexpr milliseconds other_silent_after(4500);
+// How long a keeper that fell silent while followed isn't chosen again.
+constexpr milliseconds avoid_failed_for(5000);
 } // namespace
 
 void followed_keeper::record_reply(const peer_address& keeper, bool in_touch, instant now) {
-    candidate& one = candidates_[keeper];
-    one.in_touch = in_touch;
-    one.last_reply = now;
+    candidate& state = candidates_[keeper];
+    state.in_touch = in_touch;
+    state.last_reply = now;
 }
 
 void followed_keeper::set_zone(const peer_address& keeper, zone_id zone) {
@@ -29,27 +30,28 @@
     candidates_.erase(keeper);
 }
 
-bool followed_keeper::is_usable(const peer_address& keeper, const candidate& one,
+bool followed_keeper::is_usable(const peer_address& keeper, const candidate& state,
                                 instant now) const {
-    if (now < one.avoided_until)
+    if (now < state.avoided_until)
         return false;
-    const bool just_chosen = keeper == current_ && now - current_since_ < followed_missed_after;
+    const bool just_chosen = keeper == current_ && now - current_since_ < followed_silent_after;
     const milliseconds limit =
-        keeper == current_ && !just_chosen ? followed_missed_after : other_missed_after;
-    return now - one.last_reply < limit;
+        keeper == current_ && !just_chosen ? followed_silent_after : other_silent_after;
+    return now - state.last_reply < limit;
 }
 
-// Own zone first: what it sends crosses no zone.
-peer_address followed_keeper::best(bool in_touch, instant now) const {
-    const auto rank = [this](const std::pair<const peer_address, candidate>& one) {
-        return std::make_tuple(one.second.zone != zone_, stable_hash(self_ + one.first.str()),
-                               one.first);
+// Prefers the entry's own zone, so that beacons don't cross zones.
+peer_address followed_keeper::best_candidate(bool in_touch, instant now) const {
+    const auto rank = [this](const std::pair<const peer_address, candidate>& keeper) {
+        return std::make_tuple(keeper.second.zone != zone_, stable_hash(self_ + keeper.first.str()),
+                               keeper.first);
     };
     const std::pair<const peer_address, candidate>* found = nullptr;
-    for (const std::pair<const peer_address, candidate>& one : candidates_) {
-        const bool fits = one.second.in_touch == in_touch && is_usable(one.first, one.second, now);
-        if (fits && (found == nullptr || rank(one) < rank(*found)))
-            found = &one;
+    for (const std::pair<const peer_address, candidate>& keeper : candidates_) {
+        const bool eligible =
+            keeper.second.in_touch == in_touch && is_usable(keeper.first, keeper.second, now);
+        if (eligible && (found == nullptr || rank(keeper) < rank(*found)))
+            found = &keeper;
     }
     return found == nullptr ? peer_address() : found->first;
 }
@@ -57,10 +59,10 @@
 const peer_address& followed_keeper::choose(instant now) {
     auto current = candidates_.find(current_);
     if (current != candidates_.end() && !is_usable(current_, current->second, now))
-        current->second.avoided_until = now + failed_avoided;
-    peer_address next = best(true, now);
+        current->second.avoided_until = now + avoid_failed_for;
+    peer_address next = best_candidate(true, now);
     if (next.empty())
-        next = best(false, now);
+        next = best_candidate(false, now);
     if (next != current_) {
         current_ = next;
         current_since_ = now;
--- a/unittests/membership/entry_roster_test.cpp
+++ b/unittests/membership/entry_roster_test.cpp
@@ -1,4 +1,4 @@
-// How the list of entries reaches each entry as changes.
+// Incremental distribution of the list of entries.
 
 #include "cassia/membership/entry_roster.h"
 
@@ -26,17 +26,18 @@
 }
 
 schema::keeper_beacon beacon_for(const entry_roster& roster, const roster_copy& copy, instant now) {
-    schema::entry_hello asked;
-    copy.write(asked);
+    schema::entry_hello request;
+    copy.write(request);
     schema::keeper_beacon beacon;
-    roster.write(asked.entries_epoch(), asked.entries_revision(), beacon, now);
+    roster.write(request.entries_epoch(), request.entries_revision(), beacon, now);
     return beacon;
 }
 
 } // namespace
 
-// Guards against lists that grow with the fleet for each entry that comes or goes.
-TEST_CASE("a change alone is told to who has the list", "[roster]") {
+// Guards against sending the whole list, which grows with the fleet, whenever one entry joins or
+// leaves.
+TEST_CASE("a copy that has the list gets only the change", "[roster]") {
     instant now(std::chrono::seconds(100));
     entry_roster roster(7, silent_after);
     for (int i = 0; i < 250; ++i)
@@ -53,29 +54,29 @@
     CHECK_FALSE(copy.apply_beacon(first_keeper, beacon_for(roster, copy, now)));
 }
 
-// Guards against another keeper whose list lacks what the one before had told, or that revives
-// entries lost in between.
+// Guards against a copy that mixes the lists of two keepers: it would keep entries that the newly
+// followed keeper doesn't list, or restore entries lost in between.
 TEST_CASE("another keeper's list replaces the copy", "[roster]") {
     instant now(std::chrono::seconds(100));
-    entry_roster one(1, silent_after);
-    entry_roster two(2, silent_after);
+    entry_roster first_roster(1, silent_after);
+    entry_roster second_roster(2, silent_after);
     for (int i = 1; i < 5; ++i)
-        one.observe(hello_of(i), now);
-    two.observe(hello_of(2), now);
+        first_roster.observe(hello_of(i), now);
+    second_roster.observe(hello_of(2), now);
     roster_copy copy("g0");
     copy.follow(first_keeper);
-    copy.apply_beacon(first_keeper, beacon_for(one, copy, now));
-    const schema::keeper_beacon late = beacon_for(one, copy, now);
+    copy.apply_beacon(first_keeper, beacon_for(first_roster, copy, now));
+    const schema::keeper_beacon late = beacon_for(first_roster, copy, now);
     now += milliseconds(1000);
     copy.follow(second_keeper);
-    CHECK(copy.apply_beacon(second_keeper, beacon_for(two, copy, now)));
+    CHECK(copy.apply_beacon(second_keeper, beacon_for(second_roster, copy, now)));
     CHECK(copy.entries().size() == 1);
     CHECK_FALSE(copy.apply_beacon(first_keeper, late));
 }
 
-// Guards against copies that drift: entries come, go, restart and drain in random order, beacons
-// get lost or come late, keepers restart, and another one is followed.
-TEST_CASE("in any order of events the copy ends as its source's list", "[roster]") {
+// Guards against copies that diverge: entries join, leave, restart and drain in random order,
+// beacons are lost or late, keepers restart, and another keeper is followed.
+TEST_CASE("under random events the copy converges to the list of its source", "[roster]") {
     std::mt19937 random(GENERATE(range(1U, 21U)));
     instant now(std::chrono::seconds(100));
     std::uint64_t epoch = 1;
@@ -85,9 +86,9 @@
     std::map<int, schema::entry_hello> alive;
     std::vector<std::pair<peer_address, schema::keeper_beacon>> late;
     roster_copy copy("g0");
-    peer_address leader = first_keeper;
+    peer_address followed = first_keeper;
     const auto exchange = [&](bool lossy) {
-        const peer_address source = leader;
+        const peer_address source = followed;
         copy.follow(source);
         const schema::keeper_beacon beacon = beacon_for(rosters.at(source), copy, now);
         if (!lossy || random() % 3 != 0)
@@ -101,17 +102,17 @@
     };
     for (int step = 0; step < 1500; ++step) {
         now += milliseconds(250);
-        const int who = 1 + static_cast<int>(random() % 12);
+        const int number = 1 + static_cast<int>(random() % 12);
         switch (random() % 8) {
         case 0:
-            alive[who] = hello_of(who, static_cast<std::uint64_t>(step) + 1);
+            alive[number] = hello_of(number, static_cast<std::uint64_t>(step) + 1);
             break;
         case 1:
-            alive.erase(who);
+            alive.erase(number);
             break;
         case 2:
-            if (alive.count(who) > 0)
-                alive[who].set_draining(true);
+            if (alive.count(number) > 0)
+                alive[number].set_draining(true);
             break;
         case 3:
             if (random() % 20 == 0) {
@@ -121,32 +122,32 @@
             break;
         case 4:
             if (random() % 10 == 0)
-                leader = random() % 2 == 0 ? first_keeper : second_keeper;
+                followed = random() % 2 == 0 ? first_keeper : second_keeper;
             break;
         default:
             break;
         }
-        for (auto& one : rosters) {
+        for (auto& roster : rosters) {
             for (const auto& entry : alive)
-                one.second.observe(entry.second, now);
-            one.second.mark_lost(now);
+                roster.second.observe(entry.second, now);
+            roster.second.mark_lost(now);
         }
         exchange(true);
     }
     for (int i = 0; i < 20; ++i) {
         now += milliseconds(250);
-        for (auto& one : rosters) {
+        for (auto& roster : rosters) {
             for (const auto& entry : alive)
-                one.second.observe(entry.second, now);
-            one.second.mark_lost(now);
+                roster.second.observe(entry.second, now);
+            roster.second.mark_lost(now);
         }
         exchange(false);
     }
     std::set<std::string> expected;
-    for (const auto& one : alive)
-        expected.insert(one.second.entry() + (one.second.draining() ? "-" : "+"));
-    std::set<std::string> found;
-    for (const auto& one : copy.entries())
-        found.insert(one.first.str() + (one.second.draining() ? "-" : "+"));
-    CHECK(found == expected);
+    for (const auto& entry : alive)
+        expected.insert(entry.second.entry() + (entry.second.draining() ? "-" : "+"));
+    std::set<std::string> copied;
+    for (const auto& entry : copy.entries())
+        copied.insert(entry.first.str() + (entry.second.draining() ? "-" : "+"));
+    CHECK(copied == expected);
 }
--- a/unittests/membership/followed_keeper_test.cpp
+++ b/unittests/membership/followed_keeper_test.cpp
@@ -11,71 +11,71 @@
 
 namespace {
 
-const peer_address near_keeper("10.1.0.1:7");
-const peer_address far_keeper("10.2.0.1:7");
+const peer_address own_zone_keeper("10.1.0.1:7");
+const peer_address second_keeper("10.2.0.1:7");
 const peer_address third_keeper("10.3.0.1:7");
 const instant start(std::chrono::seconds(100));
 
-followed_keeper with_all_heard(const std::string& self = "g1") {
-    followed_keeper one(self, zone_id("a"));
-    one.set_zone(near_keeper, zone_id("a"));
-    one.set_zone(far_keeper, zone_id("b"));
-    one.set_zone(third_keeper, zone_id("c"));
-    for (const peer_address& keeper : {near_keeper, far_keeper, third_keeper})
-        one.record_reply(keeper, true, start);
-    return one;
+followed_keeper follower_of_all(const std::string& self = "g1") {
+    followed_keeper selection(self, zone_id("a"));
+    selection.set_zone(own_zone_keeper, zone_id("a"));
+    selection.set_zone(second_keeper, zone_id("b"));
+    selection.set_zone(third_keeper, zone_id("c"));
+    for (const peer_address& keeper : {own_zone_keeper, second_keeper, third_keeper})
+        selection.record_reply(keeper, true, start);
+    return selection;
 }
 
 } // namespace
 
-// Guards against news that cross zones though a keeper of the own zone has them.
-TEST_CASE("a keeper of the own zone is followed", "[follow]") {
-    CHECK(with_all_heard().choose(start) == near_keeper);
+// Guards against beacons from another zone although a keeper of the own zone could send them.
+TEST_CASE("a keeper of the own zone is preferred", "[follow]") {
+    CHECK(follower_of_all().choose(start) == own_zone_keeper);
 }
 
-// Guards against an entry that hears nothing new while its keeper is dead.
-TEST_CASE("another keeper is followed once one falls silent", "[follow]") {
-    followed_keeper one = with_all_heard();
-    CHECK(one.choose(start) == near_keeper);
-    CHECK(one.choose(start + milliseconds(700)) == near_keeper);
+// Guards against an entry that gets no updates because the keeper it follows has failed.
+TEST_CASE("another keeper is chosen once the followed one falls silent", "[follow]") {
+    followed_keeper selection = follower_of_all();
+    CHECK(selection.choose(start) == own_zone_keeper);
+    CHECK(selection.choose(start + milliseconds(700)) == own_zone_keeper);
     const instant later = start + milliseconds(1000);
-    const peer_address next = one.choose(later);
-    CHECK(next != near_keeper);
+    const peer_address next = selection.choose(later);
+    CHECK(next != own_zone_keeper);
     CHECK_FALSE(next.empty());
-    one.record_reply(near_keeper, true, later + milliseconds(6000));
-    one.record_reply(next, true, later + milliseconds(6000));
-    CHECK(one.choose(later + milliseconds(6000)) == near_keeper);
+    selection.record_reply(own_zone_keeper, true, later + milliseconds(6000));
+    selection.record_reply(next, true, later + milliseconds(6000));
+    CHECK(selection.choose(later + milliseconds(6000)) == own_zone_keeper);
 }
 
-// Guards against an entry that goes by a keeper cut off from the rest of its group.
-TEST_CASE("a keeper that is out of touch is left for one in touch", "[follow]") {
-    followed_keeper one = with_all_heard();
-    CHECK(one.choose(start) == near_keeper);
-    one.record_reply(near_keeper, false, start + milliseconds(250));
-    CHECK(one.choose(start + milliseconds(250)) != near_keeper);
-    CHECK(one.is_in_touch());
+// Guards against an entry that follows a keeper partitioned from the rest of its group.
+TEST_CASE("a keeper out of touch with its leader is replaced by one in touch", "[follow]") {
+    followed_keeper selection = follower_of_all();
+    CHECK(selection.choose(start) == own_zone_keeper);
+    selection.record_reply(own_zone_keeper, false, start + milliseconds(250));
+    CHECK(selection.choose(start + milliseconds(250)) != own_zone_keeper);
+    CHECK(selection.is_in_touch());
 }
 
-// Guards against no news at all while the whole group has no leader.
-TEST_CASE("without any in touch one is followed all the same", "[follow]") {
-    followed_keeper one = with_all_heard();
-    CHECK(one.choose(start) == near_keeper);
-    for (const peer_address& keeper : {near_keeper, far_keeper, third_keeper})
-        one.record_reply(keeper, false, start + milliseconds(250));
-    CHECK_FALSE(one.choose(start + milliseconds(300)).empty());
-    CHECK_FALSE(one.is_in_touch());
+// Guards against an entry that gets no updates at all while the group has no leader.
+TEST_CASE("if no keeper is in touch, one is chosen nevertheless", "[follow]") {
+    followed_keeper selection = follower_of_all();
+    CHECK(selection.choose(start) == own_zone_keeper);
+    for (const peer_address& keeper : {own_zone_keeper, second_keeper, third_keeper})
+        selection.record_reply(keeper, false, start + milliseconds(250));
+    CHECK_FALSE(selection.choose(start + milliseconds(300)).empty());
+    CHECK_FALSE(selection.is_in_touch());
 }
 
-// Guards against all entries of zones without a keeper that follow the same one.
-TEST_CASE("entries spread over the keepers", "[follow]") {
+// Guards against entries in zones without a keeper all choosing the same keeper.
+TEST_CASE("entries are distributed over the keepers", "[follow]") {
     std::map<peer_address, int> followers;
     for (int i = 0; i < 300; ++i) {
-        followed_keeper one("g" + std::to_string(i), zone_id("elsewhere"));
-        for (const peer_address& keeper : {near_keeper, far_keeper, third_keeper})
-            one.record_reply(keeper, true, start);
-        ++followers[one.choose(start)];
+        followed_keeper selection("g" + std::to_string(i), zone_id("elsewhere"));
+        for (const peer_address& keeper : {own_zone_keeper, second_keeper, third_keeper})
+            selection.record_reply(keeper, true, start);
+        ++followers[selection.choose(start)];
     }
     CHECK(followers.size() == 3);
-    for (const auto& one : followers)
-        CHECK(one.second > 60);
+    for (const auto& count : followers)
+        CHECK(count.second > 60);
 }
--- a/unittests/membership/membership_test.cpp
+++ b/unittests/membership/membership_test.cpp
@@ -1,4 +1,4 @@
-// Who lives, who leaves, and whether an entry may trust what it knows.
+// The endpoint directory, the entry list, and the freshness of beacons.
 
 #include "cassia/membership/beacon_freshness.h"
 #include "cassia/membership/endpoint_directory.h"
@@ -16,92 +16,93 @@
 const instant start = instant(std::chrono::seconds(1000));
 
 schema::endpoint_record record(std::uint64_t incarnation, bool leaving = false) {
-    schema::endpoint_record made;
-    made.set_id("engine-1");
-    made.set_incarnation(incarnation);
-    made.set_leaving(leaving);
-    return made;
+    schema::endpoint_record built;
+    built.set_id("engine-1");
+    built.set_incarnation(incarnation);
+    built.set_leaving(leaving);
+    return built;
 }
 
 schema::entry_hello hello(const std::string& name, std::uint64_t incarnation,
                           const std::string& zone = "a") {
-    schema::entry_hello made;
-    made.set_entry(name);
-    made.set_incarnation(incarnation);
-    made.set_zone(zone);
-    return made;
+    schema::entry_hello built;
+    built.set_entry(name);
+    built.set_incarnation(incarnation);
+    built.set_zone(zone);
+    return built;
 }
 
 } // namespace
 
-TEST_CASE("an endpoint gets no work after three silent seconds", "[membership]") {
-    endpoint_directory one{endpoint_directory_settings()};
-    one.merge_announcement(record(1), start);
-    CHECK(one.serving(start + milliseconds(2900)).size() == 1);
-    CHECK(one.serving(start + milliseconds(3000)).empty());
-    schema::endpoint_record told = record(1);
-    told.set_age_ms(500);
-    one.merge_remote(told, start + milliseconds(3000));
-    CHECK(one.serving(start + milliseconds(5000)).size() == 1);
-    CHECK(one.serving(start + milliseconds(5500)).empty());
+TEST_CASE("an endpoint gets no work after three seconds without an announcement", "[membership]") {
+    endpoint_directory directory{endpoint_directory_settings()};
+    directory.merge_announcement(record(1), start);
+    CHECK(directory.serving(start + milliseconds(2900)).size() == 1);
+    CHECK(directory.serving(start + milliseconds(3000)).empty());
+    schema::endpoint_record remote = record(1);
+    remote.set_age_ms(500);
+    directory.merge_remote(remote, start + milliseconds(3000));
+    CHECK(directory.serving(start + milliseconds(5000)).size() == 1);
+    CHECK(directory.serving(start + milliseconds(5500)).empty());
 }
 
-// Story: an endpoint said that it leaves and still gets calls. An announcement from before, which
-// came by way of a slower entry, put it back.
-TEST_CASE("leaving holds against older words, and ends with the incarnation", "[membership]") {
-    endpoint_directory one{endpoint_directory_settings()};
-    one.merge_announcement(record(1), start);
-    one.merge_announcement(record(1, true), start + milliseconds(100));
-    one.merge_remote(record(1), start + milliseconds(200));
-    CHECK(one.serving(start + milliseconds(200)).empty());
-    one.merge_announcement(record(2), start + milliseconds(300));
-    CHECK(one.serving(start + milliseconds(300)).size() == 1);
-    one.merge_announcement(record(1), start + milliseconds(400));
-    CHECK(one.serving(start + milliseconds(400))[0]->record.incarnation() == 2);
+// Guards against a leaving endpoint that still gets calls: an earlier announcement, which arrives
+// late by way of another entry, must not put it back into service.
+TEST_CASE("leaving overrides earlier announcements and ends with the incarnation", "[membership]") {
+    endpoint_directory directory{endpoint_directory_settings()};
+    directory.merge_announcement(record(1), start);
+    directory.merge_announcement(record(1, true), start + milliseconds(100));
+    directory.merge_remote(record(1), start + milliseconds(200));
+    CHECK(directory.serving(start + milliseconds(200)).empty());
+    directory.merge_announcement(record(2), start + milliseconds(300));
+    CHECK(directory.serving(start + milliseconds(300)).size() == 1);
+    directory.merge_announcement(record(1), start + milliseconds(400));
+    CHECK(directory.serving(start + milliseconds(400))[0]->record.incarnation() == 2);
 }
 
-// Story: in a fleet of 60 endpoints and 65 gateways each of 50 announcements a second went whole to
-// every gateway from every keeper; gateways had no time left for callers. An announcement that says
-// nothing new is passed on as a pulse, and the endpoint stays in service by it.
-TEST_CASE("what was heard and didn't change is told as a pulse", "[membership]") {
+// Guards against gateways overloaded by announcements: in a fleet of 60 endpoints and 65 gateways,
+// every keeper sent each of 50 announcements a second in full to every gateway, which left the
+// gateways no time for callers. An announcement without a change is passed on as a pulse, which is
+// enough to keep the endpoint in service.
+TEST_CASE("an announcement without a change is passed on as a pulse", "[membership]") {
     endpoint_directory keeper{endpoint_directory_settings()};
     endpoint_directory gateway{endpoint_directory_settings()};
-    schema::endpoint_record said = record(1);
-    said.set_sequence(1);
-    keeper.merge_announcement(said, start);
-    const auto pass_on = [&keeper, &gateway](std::uint64_t known, instant now) {
-        for (const schema::endpoint_record& one : keeper.records_since(known, now))
-            gateway.merge_remote(one, now);
-        for (const schema::endpoint_pulse& one : keeper.pulses_since(known, now))
-            gateway.merge_remote(one, now);
+    schema::endpoint_record announcement = record(1);
+    announcement.set_sequence(1);
+    keeper.merge_announcement(announcement, start);
+    const auto pass_on = [&keeper, &gateway](std::uint64_t known_revision, instant now) {
+        for (const schema::endpoint_record& changed : keeper.records_since(known_revision, now))
+            gateway.merge_remote(changed, now);
+        for (const schema::endpoint_pulse& pulse : keeper.pulses_since(known_revision, now))
+            gateway.merge_remote(pulse, now);
         return keeper.revision();
     };
-    std::uint64_t known = pass_on(0, start);
+    std::uint64_t known_revision = pass_on(0, start);
     REQUIRE(gateway.serving(start).size() == 1);
     const std::uint64_t changes = gateway.changes();
 
-    said.set_sequence(2);
-    keeper.merge_announcement(said, start + milliseconds(1200));
-    CHECK(keeper.records_since(known, start + milliseconds(1300)).empty());
-    CHECK(keeper.pulses_since(known, start + milliseconds(1300)).size() == 1);
-    known = pass_on(known, start + milliseconds(1300));
+    announcement.set_sequence(2);
+    keeper.merge_announcement(announcement, start + milliseconds(1200));
+    CHECK(keeper.records_since(known_revision, start + milliseconds(1300)).empty());
+    CHECK(keeper.pulses_since(known_revision, start + milliseconds(1300)).size() == 1);
+    known_revision = pass_on(known_revision, start + milliseconds(1300));
     CHECK(gateway.changes() == changes);
     CHECK(gateway.serving(start + milliseconds(4100)).size() == 1);
     CHECK(gateway.serving(start + milliseconds(4200)).empty());
-    CHECK(gateway.misses_any(milliseconds(2000), start + milliseconds(3300)));
-    CHECK_FALSE(gateway.misses_any(milliseconds(2000), start + milliseconds(3200)));
-
-    said.set_sequence(3);
-    said.set_leaving(true);
-    keeper.merge_announcement(said, start + milliseconds(2400));
-    CHECK(keeper.records_since(known, start + milliseconds(2500)).size() == 1);
-    pass_on(known, start + milliseconds(2500));
+    CHECK(gateway.any_silent_for(milliseconds(2000), start + milliseconds(3300)));
+    CHECK_FALSE(gateway.any_silent_for(milliseconds(2000), start + milliseconds(3200)));
+
+    announcement.set_sequence(3);
+    announcement.set_leaving(true);
+    keeper.merge_announcement(announcement, start + milliseconds(2400));
+    CHECK(keeper.records_since(known_revision, start + milliseconds(2500)).size() == 1);
+    pass_on(known_revision, start + milliseconds(2500));
     CHECK(gateway.serving(start + milliseconds(2500)).empty());
 }
 
-// Story: an endpoint crashed and its address serves another one; a late pulse of the first must not
-// bring it back.
-TEST_CASE("a pulse of an earlier incarnation counts for nothing", "[membership]") {
+// Guards against an endpoint that crashed and whose address another one now uses: a late pulse of
+// the first must not put it back into service.
+TEST_CASE("a pulse of an earlier incarnation is ignored", "[membership]") {
     endpoint_directory gateway{endpoint_directory_settings()};
     gateway.merge_remote(record(2), start);
     schema::endpoint_pulse late;
@@ -112,23 +113,23 @@
     CHECK(gateway.serving(start + milliseconds(3000)).empty());
 }
 
-// Story: two entries are cut off together and serve by an old list for ever, each taking the
-// other's word for news.
-TEST_CASE("a beacon that is passed around grows old", "[membership]") {
-    beacon_freshness one(milliseconds(4000));
-    CHECK(one.is_stale(start));
-    one.observe(1, 1, milliseconds(0), start);
-    CHECK_FALSE(one.is_stale(start + milliseconds(3900)));
-    one.observe(1, 1, milliseconds(0), start + milliseconds(3900));
-    CHECK(one.is_stale(start + milliseconds(4100)));
-    one.observe(1, 2, milliseconds(3000), start + milliseconds(5000));
-    CHECK_FALSE(one.is_stale(start + milliseconds(5900)));
-    CHECK(one.is_stale(start + milliseconds(6100)));
-    one.observe(2, 0, milliseconds(0), start + milliseconds(7000));
-    CHECK_FALSE(one.is_stale(start + milliseconds(7000)));
+// Guards against two entries, partitioned together, that serve by an old configuration forever
+// because each takes the beacon passed on by the other as new.
+TEST_CASE("a beacon keeps its age when it is passed on", "[membership]") {
+    beacon_freshness freshness(milliseconds(4000));
+    CHECK(freshness.is_stale(start));
+    freshness.observe(1, 1, milliseconds(0), start);
+    CHECK_FALSE(freshness.is_stale(start + milliseconds(3900)));
+    freshness.observe(1, 1, milliseconds(0), start + milliseconds(3900));
+    CHECK(freshness.is_stale(start + milliseconds(4100)));
+    freshness.observe(1, 2, milliseconds(3000), start + milliseconds(5000));
+    CHECK_FALSE(freshness.is_stale(start + milliseconds(5900)));
+    CHECK(freshness.is_stale(start + milliseconds(6100)));
+    freshness.observe(2, 0, milliseconds(0), start + milliseconds(7000));
+    CHECK_FALSE(freshness.is_stale(start + milliseconds(7000)));
 }
 
-TEST_CASE("draining and silent entries leave the list", "[membership]") {
+TEST_CASE("draining and silent entries are removed from the list", "[membership]") {
     entry_list list(milliseconds(3000));
     list.observe(hello("x", 1), milliseconds(0), start);
     list.observe(hello("y", 1), milliseconds(0), start);
@@ -146,24 +147,25 @@
     CHECK(list.alive(start + milliseconds(3015)).size() == 1);
 }
 
-TEST_CASE("every entry finds the same steward, few move when one goes", "[membership]") {
+TEST_CASE("every entry computes the same steward, and few stewards change when an entry leaves",
+          "[membership]") {
     std::vector<schema::entry_hello> hellos;
     for (int i = 0; i < 8; ++i)
         hellos.push_back(hello("entry-" + std::to_string(i), 1, i % 2 == 0 ? "a" : "b"));
     std::vector<const schema::entry_hello*> all;
-    for (const schema::entry_hello& one : hellos)
-        all.push_back(&one);
-    const std::vector<const schema::entry_hello*> fewer(all.begin(), all.end() - 1);
-    int moved = 0;
-    std::map<std::string, int> load;
+    for (const schema::entry_hello& listed : hellos)
+        all.push_back(&listed);
+    const std::vector<const schema::entry_hello*> remaining(all.begin(), all.end() - 1);
+    int changed = 0;
+    std::map<std::string, int> endpoints_by_steward;
     for (int i = 0; i < 1000; ++i) {
         const endpoint_id endpoint("engine-" + std::to_string(i));
         const entry_id steward = steward_of(endpoint, "b", all);
-        ++load[steward.str()];
-        moved += steward_of(endpoint, "b", fewer) == steward ? 0 : 1;
+        ++endpoints_by_steward[steward.str()];
+        changed += steward_of(endpoint, "b", remaining) == steward ? 0 : 1;
     }
-    CHECK(load.size() == 4);
-    for (const std::pair<const std::string, int>& one : load)
-        CHECK(one.second > 150);
-    CHECK(moved < 350);
+    CHECK(endpoints_by_steward.size() == 4);
+    for (const std::pair<const std::string, int>& count : endpoints_by_steward)
+        CHECK(count.second > 150);
+    CHECK(changed < 350);
 }
