--- a/include/cassia/storage/disk.h
+++ b/include/cassia/storage/disk.h
@@ -1,4 +1,5 @@
-/// The few file operations that durability rests on, as hooks, so that a test can make each fail.
+/// File operations for durable data. The system calls that durability depends on are hooks, so that
+/// tests can make them fail.
 #pragma once
 
 #include "cassia/storage/error.h"
@@ -11,29 +12,30 @@
 namespace cassia::storage {
 
 struct disk_hooks {
-    /// Writes all bytes at the offset. Returns 0 or an errno.
+    /// Writes all bytes at the offset. \returns 0 or an errno.
     std::function<int(int file, std::string_view bytes, std::uint64_t offset)> write_at;
-    /// Makes the file's content durable. Returns 0 or an errno.
+    /// Makes the file's content durable. \returns 0 or an errno.
     std::function<int(int file)> sync;
 };
 
-/// The operating system's own operations.
+/// Hooks that call the operating system.
 disk_hooks system_disk();
 
-/// The error of a write that failed with this errno.
-error write_error(const std::string& path, int number);
+/// The error for a write that failed with this errno: `no_space` if the disk or the quota is full,
+/// else `cannot_write`.
+error make_write_error(const std::string& path, int error_number);
 
-/// Replaces a file in one step: a reader finds the old content or the new one, whole.
+/// Replaces a file atomically and durably: readers see either the old content or the new one.
 result<void> write_file(const disk_hooks& disk, const std::string& folder, const std::string& name,
                         std::string_view content);
 
-/// A whole file; `missing` if there is none.
+/// Reads a whole file; fails with `missing` if it doesn't exist.
 result<std::string> read_file(const std::string& path);
 
-/// Makes the folder and those above it.
+/// Creates the folder and its parents.
 result<void> make_folder(const std::string& folder);
 
-/// Names in the folder that start with `prefix`, sorted.
+/// Names in the folder that start with `prefix`, sorted; empty if the folder can't be read.
 std::vector<std::string> list_files(const std::string& folder, std::string_view prefix);
 
 } // namespace cassia::storage
--- a/include/cassia/storage/error.h
+++ b/include/cassia/storage/error.h
@@ -6,11 +6,11 @@
 namespace cassia::storage {
 
 enum class errc {
-    cannot_open,  ///< the folder or a file can't be opened or made
-    cannot_read,  ///< the system refused a read
-    cannot_write, ///< the system refused a write or a sync: what was written may be lost
-    no_space,     ///< the disk took nothing; the same write may be tried again
-    corrupt,      ///< a record that was once synced is damaged
+    cannot_open,  ///< the folder or a file can't be opened or created
+    cannot_read,  ///< a read failed
+    cannot_write, ///< a write or a sync failed: what was written may be lost
+    no_space,     ///< the disk or the quota is full; the same write may be retried
+    corrupt,      ///< a record that had been synced is damaged
     missing,      ///< no such file or record
 };
 
--- a/include/cassia/storage/write_ahead_log.h
+++ b/include/cassia/storage/write_ahead_log.h
@@ -1,7 +1,7 @@
-/// The log that all groups of a keeper share, as numbered segment files.
+/// Write-ahead log shared by all groups of a keeper, stored as numbered segment files.
 ///
-/// One thread appends and reads, another writes and syncs the batches. Records keep their place
-/// for as long as their segment exists, so a position serves as the address of a body.
+/// One thread appends and reads; another may write and sync the batches. A record doesn't move
+/// while its segment exists, so other data can refer to it by its position.
 #pragma once
 
 #include "cassia/storage/disk.h"
@@ -16,7 +16,7 @@
 
 namespace cassia::storage {
 
-/// Address of a record.
+/// Position of a record in the log.
 struct position {
     std::uint32_t segment = 0; ///< numbered from 1; 0 stands for no record
     std::uint64_t offset = 0;
@@ -24,7 +24,7 @@
     friend auto operator<=>(const position&, const position&) = default;
 };
 
-/// Records that are written and synced together, to one segment.
+/// Records that are written to one segment and synced together.
 struct log_batch {
     std::uint32_t segment = 0;
     std::uint64_t offset = 0;
@@ -40,39 +40,42 @@
     write_ahead_log(const write_ahead_log&) = delete;
     write_ahead_log& operator=(const write_ahead_log&) = delete;
 
-    /// Hands over every record from `first_segment` on, in order, and cuts a torn tail.
-    /// Fails with `corrupt` if a record is damaged that had been synced.
+    /// Calls `on_record` for every record from `first_segment` on, in order, and truncates a torn
+    /// tail. Fails with `corrupt` if a record that had been synced is damaged, or a segment between
+    /// others is missing.
     result<void> recover(std::uint32_t first_segment, const record_handler& on_record);
 
-    /// Adds a record to the next batch. Durable only once that batch has been written.
+    /// Appends a record to the next batch. It is durable only once that batch has been written.
     position append(std::string_view payload);
     bool has_batch() const { return !next_.bytes.empty(); }
-    /// Takes what was appended, to be handed to write().
+    /// Takes the batch of the records appended since the last call, to pass to write().
     log_batch take_batch();
-    /// Writes and syncs a batch; batches go in the order taken. May run on another thread.
+    /// Writes and syncs a batch. Batches must be written in the order taken. May run on another
+    /// thread.
     result<void> write(const log_batch& batch);
 
-    /// Payload of a record that has been written.
-    result<std::string> read(const position& at);
-    /// Removes segments that nobody refers to any more.
+    /// Reads the payload of a record that has been written.
+    result<std::string> read(const position& record);
+    /// Deletes the segments before this one; nothing may refer to them any more.
     void remove_before(std::uint32_t segment);
 
+    /// Segment of the next batch.
     std::uint32_t current_segment() const { return next_.segment; }
     std::uint64_t bytes_on_disk() const;
 
 private:
     std::string segment_path(std::uint32_t segment) const;
     result<void> recover_segment(std::uint32_t segment, bool last, const record_handler& on_record);
-    result<void> cut_tail(std::uint32_t segment, std::uint64_t size);
+    result<void> truncate_segment(std::uint32_t segment, std::uint64_t size);
 
     std::string folder_;
     std::uint64_t segment_bytes_;
     disk_hooks disk_;
-    log_batch next_;
-    std::uint64_t batch_number_ = 1;
+    log_batch next_;                       ///< batch that append() adds to
+    std::uint64_t batch_number_ = 1;       ///< of next_
     std::map<std::uint32_t, int> readers_; ///< open files, by segment
-    int writer_ = -1;                      ///< touched by write() only
-    std::uint32_t writer_segment_ = 0;
+    int writer_ = -1;                      ///< file being written; used by write() only
+    std::uint32_t writer_segment_ = 0;     ///< its segment; used by write() only
 };
 
 } // namespace cassia::storage
--- a/lib/storage/disk.cpp
+++ b/lib/storage/disk.cpp
@@ -35,19 +35,19 @@
     return {write_all_at, sync_file};
 }
 
-error write_error(const std::string& path, int number) {
-    const bool full = number == ENOSPC || number == EDQUOT;
-    return {full ? errc::no_space : errc::cannot_write, path + ": " + std::strerror(number)};
+error make_write_error(const std::string& path, int error_number) {
+    const bool full = error_number == ENOSPC || error_number == EDQUOT;
+    return {full ? errc::no_space : errc::cannot_write, path + ": " + std::strerror(error_number)};
 }
 
 static result<void> sync_folder(const disk_hooks& disk, const std::string& folder) {
     const int descriptor = open(folder.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
     if (descriptor < 0)
-        return failure(write_error(folder, errno));
-    const int problem = disk.sync(descriptor);
+        return failure(make_write_error(folder, errno));
+    const int error_number = disk.sync(descriptor);
     close(descriptor);
-    if (problem != 0)
-        return failure(write_error(folder, problem));
+    if (error_number != 0)
+        return failure(make_write_error(folder, error_number));
     return success();
 }
 
@@ -57,15 +57,15 @@
     const std::string temporary = path + ".tmp";
     const int descriptor = open(temporary.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600);
     if (descriptor < 0)
-        return failure(write_error(temporary, errno));
-    int problem = disk.write_at(descriptor, content, 0);
-    if (problem == 0)
-        problem = disk.sync(descriptor);
+        return failure(make_write_error(temporary, errno));
+    int error_number = disk.write_at(descriptor, content, 0);
+    if (error_number == 0)
+        error_number = disk.sync(descriptor);
     close(descriptor);
-    if (problem != 0)
-        return failure(write_error(temporary, problem));
+    if (error_number != 0)
+        return failure(make_write_error(temporary, error_number));
     if (g_rename(temporary.c_str(), path.c_str()) != 0)
-        return failure(write_error(path, errno));
+        return failure(make_write_error(path, errno));
     return sync_folder(disk, folder);
 }
 
--- a/lib/storage/record.cpp
+++ b/lib/storage/record.cpp
@@ -29,13 +29,13 @@
     return number;
 }
 
-// The checksum covers the length and the batch too: a damaged header must not pass for another.
+// The checksum also covers the length and the batch, so that a damaged header is detected.
 static std::uint32_t checksum(std::uint32_t length, std::uint64_t batch, std::string_view payload) {
-    std::string head;
-    append_number(head, length, sizeof length);
-    append_number(head, batch, sizeof batch);
+    std::string header;
+    append_number(header, length, sizeof length);
+    append_number(header, batch, sizeof batch);
     uLong crc =
-        crc32(0, reinterpret_cast<const Bytef*>(head.data()), static_cast<uInt>(head.size()));
+        crc32(0, reinterpret_cast<const Bytef*>(header.data()), static_cast<uInt>(header.size()));
     crc = crc32(crc, reinterpret_cast<const Bytef*>(payload.data()),
                 static_cast<uInt>(payload.size()));
     return static_cast<std::uint32_t>(crc);
@@ -43,12 +43,12 @@
 
 void append_frame(std::string& out, std::string_view payload, std::uint64_t batch,
                   bool first_of_batch) {
-    const std::uint64_t marked = first_of_batch ? batch | first_of_batch_bit : batch;
+    const std::uint64_t batch_field = first_of_batch ? batch | first_of_batch_bit : batch;
     const std::uint32_t length = static_cast<std::uint32_t>(payload.size());
     append_number(out, frame_magic, sizeof frame_magic);
     append_number(out, length, sizeof length);
-    append_number(out, checksum(length, marked, payload), sizeof(std::uint32_t));
-    append_number(out, marked, sizeof marked);
+    append_number(out, checksum(length, batch_field, payload), sizeof(std::uint32_t));
+    append_number(out, batch_field, sizeof batch_field);
     out.append(payload);
 }
 
@@ -59,25 +59,25 @@
         return std::nullopt;
     const std::uint32_t length =
         static_cast<std::uint32_t>(read_number(bytes, length_offset, sizeof(std::uint32_t)));
-    if (length > most_payload_bytes || length > bytes.size() - frame_header_bytes)
+    if (length > max_payload_bytes || length > bytes.size() - frame_header_bytes)
         return std::nullopt;
-    const std::uint64_t marked = read_number(bytes, batch_offset, sizeof(std::uint64_t));
+    const std::uint64_t batch_field = read_number(bytes, batch_offset, sizeof(std::uint64_t));
     const std::string_view payload = bytes.substr(frame_header_bytes, length);
     if (read_number(bytes, checksum_offset, sizeof(std::uint32_t)) !=
-        checksum(length, marked, payload))
+        checksum(length, batch_field, payload))
         return std::nullopt;
-    return record_frame{marked & ~first_of_batch_bit, (marked & first_of_batch_bit) != 0, payload,
-                        frame_header_bytes + length};
+    return record_frame{batch_field & ~first_of_batch_bit, (batch_field & first_of_batch_bit) != 0,
+                        payload, frame_header_bytes + length};
 }
 
 std::optional<record_frame> find_frame(std::string_view bytes) {
     std::string magic;
     append_number(magic, frame_magic, sizeof frame_magic);
-    std::size_t at = bytes.find(magic);
-    while (at != std::string_view::npos) {
-        if (std::optional<record_frame> frame = read_frame(bytes.substr(at)))
+    std::size_t offset = bytes.find(magic);
+    while (offset != std::string_view::npos) {
+        if (std::optional<record_frame> frame = read_frame(bytes.substr(offset)))
             return frame;
-        at = bytes.find(magic, at + 1);
+        offset = bytes.find(magic, offset + 1);
     }
     return std::nullopt;
 }
--- a/lib/storage/write_ahead_log.cpp
+++ b/lib/storage/write_ahead_log.cpp
@@ -20,7 +20,7 @@
 
 namespace {
 constexpr std::string_view segment_prefix = "log-";
-constexpr std::size_t most_open_readers = 64;
+constexpr std::size_t max_open_readers = 64;
 } // namespace
 
 write_ahead_log::write_ahead_log(std::string folder, std::uint64_t segment_bytes, disk_hooks disk)
@@ -59,7 +59,7 @@
         if (number < first_segment)
             continue;
         if (expected != 0 && number != expected)
-            return failure(error{errc::corrupt, "missing " + segment_path(expected)});
+            return failure(error{errc::corrupt, "missing log segment " + segment_path(expected)});
         expected = number + 1;
         result<void> recovered = recover_segment(number, number == numbers.back(), on_record);
         if (!recovered)
@@ -68,17 +68,18 @@
     return success();
 }
 
-// Tells a torn tail from damage. The next batch is only written once the one before is synced, so
-// a whole frame of a later batch behind the bad one proves that the bad one had been synced: it
-// was acknowledged, and cutting it would break a promise. Without such a frame the bad one belongs
-// to the last batch, which was never acknowledged.
-static bool was_synced(std::string_view behind, std::uint64_t last_batch) {
-    while (const std::optional<record_frame> frame = find_frame(behind)) {
+// Distinguishes damage from a torn tail. A batch is written only once the previous one is synced,
+// so an intact frame of a later batch after the bad frame proves that the bad one had been synced.
+// It may have been acknowledged, and truncating it would lose acknowledged data. Without such a
+// frame, the bad one belongs to the last batch, which was never acknowledged.
+static bool was_synced(std::string_view bytes_after, std::uint64_t last_batch) {
+    while (const std::optional<record_frame> frame = find_frame(bytes_after)) {
         const bool starts_next = frame->batch == last_batch + 1 && frame->first_of_batch;
         if (starts_next || frame->batch > last_batch + 1)
             return true;
-        behind.remove_prefix(static_cast<std::size_t>(frame->payload.data() - behind.data()) +
-                             frame->payload.size());
+        bytes_after.remove_prefix(
+            static_cast<std::size_t>(frame->payload.data() - bytes_after.data()) +
+            frame->payload.size());
     }
     return false;
 }
@@ -111,31 +112,31 @@
         .with("file", segment_path(segment))
         .with("offset", offset)
         .with("bytes", bytes.size() - offset);
-    return cut_tail(segment, offset);
+    return truncate_segment(segment, offset);
 }
 
-result<void> write_ahead_log::cut_tail(std::uint32_t segment, std::uint64_t size) {
+result<void> write_ahead_log::truncate_segment(std::uint32_t segment, std::uint64_t size) {
     const std::string path = segment_path(segment);
     const int file = open(path.c_str(), O_WRONLY | O_CLOEXEC);
-    const bool cut =
+    const bool truncated =
         file >= 0 && ftruncate(file, static_cast<off_t>(size)) == 0 && disk_.sync(file) == 0;
-    const int problem = errno;
+    const int error_number = errno;
     if (file >= 0)
         close(file);
-    if (!cut)
-        return failure(error{errc::cannot_write, path + ": " + std::strerror(problem)});
+    if (!truncated)
+        return failure(error{errc::cannot_write, path + ": " + std::strerror(error_number)});
     return success();
 }
 
 position write_ahead_log::append(std::string_view payload) {
-    // A segment is closed between batches only, so that one sync covers each batch.
+    // A new segment is started only between batches, so that one sync covers a whole batch.
     if (next_.bytes.empty() && next_.offset >= segment_bytes_) {
         ++next_.segment;
         next_.offset = 0;
     }
-    const position at{next_.segment, next_.offset + next_.bytes.size()};
+    const position appended{next_.segment, next_.offset + next_.bytes.size()};
     append_frame(next_.bytes, payload, batch_number_, next_.bytes.empty());
-    return at;
+    return appended;
 }
 
 log_batch write_ahead_log::take_batch() {
@@ -154,63 +155,65 @@
             close(writer_);
         writer_ = open(path.c_str(), O_WRONLY | O_CREAT | O_CLOEXEC, 0600);
         if (writer_ < 0)
-            return failure(write_error(path, errno));
+            return failure(make_write_error(path, errno));
         writer_segment_ = batch.segment;
-        // The file's name must be as durable as its content.
+        // Syncing the folder makes the file's name durable too.
         const int folder = open(folder_.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
-        const int problem = folder < 0 ? errno : disk_.sync(folder);
+        const int error_number = folder < 0 ? errno : disk_.sync(folder);
         if (folder >= 0)
             close(folder);
-        if (problem != 0)
-            return failure(error{errc::cannot_write, folder_ + ": " + std::strerror(problem)});
+        if (error_number != 0)
+            return failure(error{errc::cannot_write, folder_ + ": " + std::strerror(error_number)});
     }
-    // A write that found no room left nothing that counts, and goes to the same place again. After
-    // a failed sync nobody knows what is on the disk.
-    const int unwritten = disk_.write_at(writer_, batch.bytes, batch.offset);
-    if (unwritten != 0)
-        return failure(write_error(path, unwritten));
-    const int unsynced = disk_.sync(writer_);
-    if (unsynced != 0)
-        return failure(error{errc::cannot_write, path + ": " + std::strerror(unsynced)});
+    // A write that fails for lack of space may be retried: it overwrites the same bytes. After a
+    // failed sync, what is on the disk is unknown, so that error is final.
+    const int write_error_number = disk_.write_at(writer_, batch.bytes, batch.offset);
+    if (write_error_number != 0)
+        return failure(make_write_error(path, write_error_number));
+    const int sync_error_number = disk_.sync(writer_);
+    if (sync_error_number != 0)
+        return failure(error{errc::cannot_write, path + ": " + std::strerror(sync_error_number)});
     return success();
 }
 
-result<std::string> write_ahead_log::read(const position& at) {
-    auto found = readers_.find(at.segment);
+result<std::string> write_ahead_log::read(const position& record) {
+    auto found = readers_.find(record.segment);
     if (found == readers_.end()) {
-        if (readers_.size() >= most_open_readers) {
+        if (readers_.size() >= max_open_readers) {
             close(readers_.begin()->second);
             readers_.erase(readers_.begin());
         }
-        const int file = open(segment_path(at.segment).c_str(), O_RDONLY | O_CLOEXEC);
+        const int file = open(segment_path(record.segment).c_str(), O_RDONLY | O_CLOEXEC);
         if (file < 0)
             return failure(
-                error{errc::missing, segment_path(at.segment) + ": " + std::strerror(errno)});
-        found = readers_.emplace(at.segment, file).first;
+                error{errc::missing, segment_path(record.segment) + ": " + std::strerror(errno)});
+        found = readers_.emplace(record.segment, file).first;
     }
-    // Most records are small: one read fetches the header and the payload of nearly all.
-    constexpr std::size_t first_read = 16384;
-    std::string bytes(first_read, '\0');
-    const ssize_t got =
-        pread(found->second, bytes.data(), bytes.size(), static_cast<off_t>(at.offset));
-    if (got < static_cast<ssize_t>(frame_header_bytes))
-        return failure(error{errc::corrupt, segment_path(at.segment) + ": no record at offset " +
-                                                std::to_string(at.offset)});
-    bytes.resize(static_cast<std::size_t>(got));
+    // Most records are small, so that one read gets both the header and the payload.
+    constexpr std::size_t first_read_bytes = 16384;
+    std::string bytes(first_read_bytes, '\0');
+    const ssize_t count =
+        pread(found->second, bytes.data(), bytes.size(), static_cast<off_t>(record.offset));
+    if (count < static_cast<ssize_t>(frame_header_bytes))
+        return failure(error{errc::corrupt, segment_path(record.segment) +
+                                                ": no record at offset " +
+                                                std::to_string(record.offset)});
+    bytes.resize(static_cast<std::size_t>(count));
     std::uint32_t length = 0;
     std::memcpy(&length, bytes.data() + sizeof length, sizeof length);
-    const std::size_t whole = frame_header_bytes + std::min(length, most_payload_bytes);
-    if (whole > bytes.size() && bytes.size() == first_read) {
-        bytes.resize(whole);
-        const ssize_t rest = pread(found->second, bytes.data() + first_read, whole - first_read,
-                                   static_cast<off_t>(at.offset + first_read));
-        bytes.resize(first_read + static_cast<std::size_t>(std::max<ssize_t>(rest, 0)));
+    const std::size_t frame_bytes = frame_header_bytes + std::min(length, max_payload_bytes);
+    if (frame_bytes > bytes.size() && bytes.size() == first_read_bytes) {
+        bytes.resize(frame_bytes);
+        const ssize_t rest_count =
+            pread(found->second, bytes.data() + first_read_bytes, frame_bytes - first_read_bytes,
+                  static_cast<off_t>(record.offset + first_read_bytes));
+        bytes.resize(first_read_bytes + static_cast<std::size_t>(std::max<ssize_t>(rest_count, 0)));
     }
     const std::optional<record_frame> frame = read_frame(bytes);
     if (!frame)
-        return failure(error{errc::corrupt, segment_path(at.segment) +
+        return failure(error{errc::corrupt, segment_path(record.segment) +
                                                 ": damaged record at offset " +
-                                                std::to_string(at.offset)});
+                                                std::to_string(record.offset)});
     return std::string(frame->payload);
 }
 
--- a/unittests/storage/write_ahead_log_test.cpp
+++ b/unittests/storage/write_ahead_log_test.cpp
@@ -1,4 +1,4 @@
-// What a restart finds after a crash, a torn write, a damaged record, a failing disk.
+// Recovery of the write-ahead log after a crash, a torn write, a damaged record or a failing disk.
 
 #include "cassia/storage/record.h"
 #include "cassia/storage/write_ahead_log.h"
@@ -20,7 +20,7 @@
 
 constexpr std::uint64_t segment_bytes = 4096;
 
-/// A folder that goes away with the test.
+/// A folder that is removed at the end of the test.
 class temporary_folder {
 public:
     temporary_folder() {
@@ -38,25 +38,25 @@
     std::string path_;
 };
 
-struct read_back {
+struct recovery {
     std::vector<std::string> records;
     result<void> outcome = cassia::success();
 };
 
-read_back recover(const std::string& folder) {
-    read_back found;
+recovery recover(const std::string& folder) {
+    recovery recovered;
     write_ahead_log log(folder, segment_bytes, system_disk());
-    found.outcome = log.recover(1, [&found](const position&, std::string_view payload) {
-        found.records.emplace_back(payload);
+    recovered.outcome = log.recover(1, [&recovered](const position&, std::string_view payload) {
+        recovered.records.emplace_back(payload);
     });
-    return found;
+    return recovered;
 }
 
-void write_batches(const std::string& folder, int batches, int records) {
+void write_batches(const std::string& folder, int batches, int records_per_batch) {
     write_ahead_log log(folder, segment_bytes, system_disk());
     REQUIRE(log.recover(1, [](const position&, std::string_view) {}));
     for (int i = 0; i < batches; ++i) {
-        for (int n = 0; n < records; ++n)
+        for (int n = 0; n < records_per_batch; ++n)
             log.append("record " + std::to_string(i) + "." + std::to_string(n));
         REQUIRE(log.write(log.take_batch()));
     }
@@ -66,69 +66,70 @@
     return folder + "/log-00000001";
 }
 
-void overwrite(const std::string& path, std::streamoff offset, char with) {
+void overwrite(const std::string& path, std::streamoff offset, char byte) {
     std::fstream file(path, std::ios::in | std::ios::out | std::ios::binary);
     file.seekp(offset);
-    file.put(with);
+    file.put(byte);
 }
 
 } // namespace
 
-TEST_CASE("records come back in order, over several segments and restarts", "[storage]") {
+TEST_CASE("records are recovered in order, across segments and restarts", "[storage]") {
     temporary_folder folder;
     write_batches(folder.path(), 40, 5);
     write_batches(folder.path(), 40, 5);
-    const read_back found = recover(folder.path());
-    REQUIRE(found.outcome);
-    CHECK(found.records.size() == 400);
-    CHECK(found.records[199] == "record 39.4");
-    CHECK(found.records[200] == "record 0.0");
+    const recovery recovered = recover(folder.path());
+    REQUIRE(recovered.outcome);
+    CHECK(recovered.records.size() == 400);
+    CHECK(recovered.records[199] == "record 39.4");
+    CHECK(recovered.records[200] == "record 0.0");
     CHECK(list_files(folder.path(), "log-").size() > 2);
 }
 
-TEST_CASE("a record is read by its position", "[storage]") {
+TEST_CASE("a record can be read by its position", "[storage]") {
     temporary_folder folder;
     write_ahead_log log(folder.path(), segment_bytes, system_disk());
     REQUIRE(log.recover(1, [](const position&, std::string_view) {}));
     const std::string large(100000, 'x');
-    const position small_at = log.append("small");
-    const position large_at = log.append(large);
+    const position small_position = log.append("small");
+    const position large_position = log.append(large);
     REQUIRE(log.write(log.take_batch()));
-    CHECK(log.read(small_at).value() == "small");
-    CHECK(log.read(large_at).value() == large);
+    CHECK(log.read(small_position).value() == "small");
+    CHECK(log.read(large_position).value() == large);
     CHECK_FALSE(log.read(position{1, 3}));
 }
 
-// Story: a keeper loses power in the middle of a write and won't start again. The last batch is
-// cut short; nothing in it had been acknowledged, so it is dropped and the rest kept.
-TEST_CASE("a torn tail is cut at every possible place", "[storage]") {
-    for (int cut = 1; cut < 60; cut += 3) {
+// Guards against a keeper that can't restart after a power loss in the middle of a write. The last
+// batch is incomplete and none of it was acknowledged, so it is dropped and the rest is kept.
+TEST_CASE("a tail torn at any offset is truncated", "[storage]") {
+    for (int removed_bytes = 1; removed_bytes < 60; removed_bytes += 3) {
         temporary_folder folder;
         write_batches(folder.path(), 2, 2);
         const std::string path = first_segment(folder.path());
-        const std::string whole = read_file(path).value();
-        REQUIRE(truncate(path.c_str(), static_cast<off_t>(whole.size()) - cut) == 0);
-        const read_back found = recover(folder.path());
-        INFO("cut " << cut);
-        REQUIRE(found.outcome);
-        CHECK(found.records.size() >= 2);
-        CHECK(found.records.size() < 4);
+        const std::string content = read_file(path).value();
+        REQUIRE(truncate(path.c_str(), static_cast<off_t>(content.size()) - removed_bytes) == 0);
+        const recovery recovered = recover(folder.path());
+        INFO("removed bytes " << removed_bytes);
+        REQUIRE(recovered.outcome);
+        CHECK(recovered.records.size() >= 2);
+        CHECK(recovered.records.size() < 4);
         write_batches(folder.path(), 1, 1);
         CHECK(recover(folder.path()).records.back() == "record 0.0");
     }
 }
 
-// Story: a disk turns a bit in a record that was acknowledged long ago. Cutting there, as at a torn
-// tail, would drop that record and all behind it, and this keeper would vote without them.
-TEST_CASE("damage before the last batch is reported and nothing is cut", "[storage]") {
+// Guards against lost acknowledged records: a bit flips in a record synced long ago. Truncating
+// there, as for a torn tail, would drop that record and all after it, and the keeper would vote
+// without them.
+TEST_CASE("damage before the last batch is reported and nothing is truncated", "[storage]") {
     temporary_folder folder;
     write_batches(folder.path(), 3, 2);
     const std::string path = first_segment(folder.path());
     overwrite(path, 25, '!');
     const std::string before = read_file(path).value();
-    const read_back found = recover(folder.path());
-    REQUIRE_FALSE(found.outcome);
-    CHECK(found.outcome.error().code == errc::corrupt);
+    const recovery recovered = recover(folder.path());
+    REQUIRE_FALSE(recovered.outcome);
+    CHECK(recovered.outcome.error().code == errc::corrupt);
     CHECK(read_file(path).value() == before);
 }
 
@@ -139,24 +140,25 @@
     CHECK_FALSE(recover(folder.path()).outcome);
 }
 
-// Story: a keeper acknowledges a job although its disk is full or its sync failed, and the job is
-// gone after the next restart.
-TEST_CASE("a failing write or sync is reported", "[storage]") {
+// Guards against a job that is acknowledged although the disk is full or the sync failed, and is
+// lost in the next restart.
+TEST_CASE("a failed write or sync is reported", "[storage]") {
     temporary_folder folder;
     disk_hooks disk = system_disk();
-    int fail_with = 0;
+    int injected_errno = 0;
     const bool sync_fails = GENERATE(true, false);
     if (sync_fails)
-        disk.sync = [&fail_with](int) { return fail_with; };
+        disk.sync = [&injected_errno](int) { return injected_errno; };
     else
-        disk.write_at = [&fail_with](int file, std::string_view bytes, std::uint64_t offset) {
-            return fail_with != 0 ? fail_with : system_disk().write_at(file, bytes, offset);
+        disk.write_at = [&injected_errno](int file, std::string_view bytes, std::uint64_t offset) {
+            return injected_errno != 0 ? injected_errno
+                                       : system_disk().write_at(file, bytes, offset);
         };
     write_ahead_log log(folder.path(), segment_bytes, disk);
     REQUIRE(log.recover(1, [](const position&, std::string_view) {}));
     log.append("first");
     REQUIRE(log.write(log.take_batch()));
-    fail_with = sync_fails ? EIO : ENOSPC;
+    injected_errno = sync_fails ? EIO : ENOSPC;
     log.append("second");
     const log_batch batch = log.take_batch();
     const result<void> written = log.write(batch);
@@ -164,14 +166,14 @@
     CHECK(written.error().code == (sync_fails ? errc::cannot_write : errc::no_space));
     if (sync_fails)
         return;
-    // There is room again: the same batch goes to the same place, and both records are there.
-    fail_with = 0;
+    // Once there is space again, the same batch is written at the same offset.
+    injected_errno = 0;
     REQUIRE(log.write(batch));
     CHECK(recover(folder.path()).records.size() == 2);
 }
 
-// Story: a keeper crashes, or allocates all memory, over bytes that a damaged disk returns.
-TEST_CASE("the frame decoder takes any bytes", "[storage][fuzz]") {
+// Guards against a crash or an excessive allocation over bytes that a damaged disk returns.
+TEST_CASE("the frame decoder accepts arbitrary bytes", "[storage][fuzz]") {
     constexpr int rounds = 20000;
     const unsigned seed = 20261203;
     INFO("seed " << seed);
