--- a/include/cassia/entry/control_task.h
+++ b/include/cassia/entry/control_task.h
@@ -4,9 +4,9 @@
 #include "cassia/base/metrics.h"
 #include "cassia/entry/fleet_view.h"
 #include "cassia/entry/keeper_client.h"
-#include "cassia/membership/directory.h"
+#include "cassia/membership/beacon_freshness.h"
+#include "cassia/membership/endpoint_directory.h"
 #include "cassia/membership/entry_list.h"
-#include "cassia/membership/freshness.h"
 #include "cassia/net/peer_hub.h"
 #include "cassia/net/task.h"
 #include "cassia/policy/strikes.h"
@@ -88,9 +88,9 @@
     net::task task_;
     std::unique_ptr<net::peer_hub> hub_;
     keeper_client keepers_;
-    membership::directory directory_;
+    membership::endpoint_directory directory_;
     membership::entry_list entries_;
-    membership::freshness freshness_;
+    membership::beacon_freshness freshness_;
     policy::strike_list strikes_;
     schema::change_record config_;
     std::shared_ptr<const settings::catalog> catalog_;
--- a/include/cassia/gateway/cluster_client.h
+++ b/include/cassia/gateway/cluster_client.h
@@ -7,7 +7,7 @@
 #include "cassia/entry/keeper_client.h"
 #include "cassia/gateway/quota_coordinator.h"
 #include "cassia/gateway/usage_coordinator.h"
-#include "cassia/membership/directory.h"
+#include "cassia/membership/endpoint_directory.h"
 #include "cassia/membership/entry_roster.h"
 #include "cassia/membership/followed_keeper.h"
 #include "cassia/net/peer_hub.h"
@@ -116,7 +116,7 @@
     std::map<group_id, peer_address> leaders_;
     membership::followed_keeper followed_;
     membership::roster_copy roster_;
-    membership::directory directory_;
+    membership::endpoint_directory directory_;
     std::vector<policy::slot_endpoint> published_endpoints_; ///< as last passed to on_endpoints
     std::uint64_t published_changes_ = 0; ///< directory_.changes() at the last check
     instant endpoints_checked_at_{};
--- a/include/cassia/keeper/endpoint_file.h
+++ b/include/cassia/keeper/endpoint_file.h
@@ -3,17 +3,17 @@
 #pragma once
 
 #include "cassia/base/clock.h"
-#include "cassia/membership/directory.h"
+#include "cassia/membership/endpoint_directory.h"
 
 #include <string>
 
 namespace cassia::keeper {
 
-std::string encode_endpoints(const membership::directory& directory, instant now);
+std::string encode_endpoints(const membership::endpoint_directory& directory, instant now);
 /// Adds the saved endpoints to the directory. Those that don't announce themselves soon afterwards
 /// get no further work.
 /// \returns the number of endpoints read; 0 if the content can't be parsed.
-std::size_t decode_endpoints(membership::directory& directory, const std::string& content,
+std::size_t decode_endpoints(membership::endpoint_directory& directory, const std::string& content,
                              instant now);
 
 } // namespace cassia::keeper
--- a/include/cassia/keeper/group_replica.h
+++ b/include/cassia/keeper/group_replica.h
@@ -90,7 +90,7 @@
     };
 
     void append_to_log(consensus::raft_actions& actions, pending_sync& pending);
-    void apply_entry(const consensus::entry_pointer& entry);
+    void apply_entry(const consensus::log_entry_ptr& entry);
     void fail_pending_proposals();
     void take_snapshot_if_due(instant now);
     void write_snapshot(const std::shared_ptr<schema::group_snapshot>& snapshot,
--- a/include/cassia/keeper/service.h
+++ b/include/cassia/keeper/service.h
@@ -13,7 +13,7 @@
 #include "cassia/keeper/route_table_delivery.h"
 #include "cassia/keeper/store.h"
 #include "cassia/keeper/work_leader.h"
-#include "cassia/membership/directory.h"
+#include "cassia/membership/endpoint_directory.h"
 #include "cassia/membership/entry_roster.h"
 #include "cassia/net/http_server.h"
 #include "cassia/net/peer_hub.h"
@@ -234,7 +234,7 @@
     bool processing_scheduled_ = false;
     std::map<std::string, known_gateway> gateways_;
     std::map<std::string, known_keeper> keepers_; ///< by node
-    membership::directory directory_;
+    membership::endpoint_directory directory_;
     const std::uint64_t directory_epoch_;
     membership::entry_roster roster_;
     std::map<std::string, std::pair<std::uint64_t, std::uint64_t>>
--- /dev/null
+++ b/include/cassia/membership/beacon_freshness.h
@@ -0,0 +1,34 @@
+/// Whether an entry's configuration may be outdated, judged by the age of the newest beacon.
+///
+/// The leader of the control group increments the beacon number while it has a quorum, and gossip
+/// spreads the beacon. An entry that sees no new beacon may be partitioned and miss accepted
+/// changes; it must not serve by its old configuration.
+#pragma once
+
+#include "cassia/base/clock.h"
+
+#include <cstdint>
+#include <utility>
+
+namespace cassia::membership {
+
+class beacon_freshness {
+public:
+    explicit beacon_freshness(milliseconds stale_after) : stale_after_(stale_after) {}
+
+    /// Records a beacon. \param age time since the sender first saw it.
+    void observe(std::uint64_t term, std::uint64_t beacon, milliseconds age, instant now);
+    bool is_stale(instant now) const;
+
+    std::uint64_t term() const { return newest_.first; }
+    std::uint64_t beacon() const { return newest_.second; }
+    milliseconds age(instant now) const;
+
+private:
+    milliseconds stale_after_;
+    std::pair<std::uint64_t, std::uint64_t> newest_{0, 0}; ///< term and beacon number
+    instant first_seen_{};
+    bool seen_any_ = false;
+};
+
+} // namespace cassia::membership
--- /dev/null
+++ b/include/cassia/membership/endpoint_directory.h
@@ -0,0 +1,73 @@
+/// Known endpoints and whether they are alive, from the announcements that this process receives
+/// and from those that other processes pass on. Does no I/O; the time is passed in.
+#pragma once
+
+#include "cassia/base/clock.h"
+#include "cassia/base/ids.h"
+#include "cassia/schema/messages.pb.h"
+
+#include <map>
+#include <string>
+#include <vector>
+
+namespace cassia::membership {
+
+struct endpoint_directory_settings {
+    milliseconds silent_after{3000};  ///< time without an announcement until new work stops
+    milliseconds forget_after{60000}; ///< time without an announcement until removal
+};
+
+/// An endpoint with its latest announcement.
+struct endpoint_state {
+    schema::endpoint_record record;
+    instant last_heard{};               ///< time of its latest announcement to any process
+    instant last_heard_directly{};      ///< time of its latest announcement to this process
+    bool leaving = false;               ///< takes no new work; final for the incarnation
+    std::uint64_t changed_revision = 0; ///< directory revision of its last change, load apart
+    std::uint64_t heard_revision = 0;   ///< directory revision of its latest announcement
+};
+
+class endpoint_directory {
+public:
+    explicit endpoint_directory(endpoint_directory_settings settings) : settings_(settings) {}
+
+    /// Merges an announcement made to this process. \returns whether anything but its load changed.
+    bool merge_announcement(const schema::endpoint_record& record, instant now);
+    /// Merges a record passed on by another process; `record.age_ms` is the announcement's age.
+    /// \returns whether anything but its load changed.
+    bool merge_remote(const schema::endpoint_record& record, instant now);
+    /// Merges an announcement that repeated a known record; `pulse.age_ms` is its age.
+    void merge_remote(const schema::endpoint_pulse& pulse, instant now);
+
+    /// Endpoints that may get new work: alive and not leaving.
+    std::vector<const endpoint_state*> serving(instant now) const;
+    /// Records announced to this process within `silent_after`, with ages, to pass on to others.
+    std::vector<schema::endpoint_record> directly_heard_records(instant now) const;
+    const std::map<endpoint_id, endpoint_state>& all() const { return endpoints_; }
+    /// Increases with each change of an endpoint and with each announcement.
+    std::uint64_t revision() const { return revision_; }
+    /// Number of changes; announcements that change nothing don't count.
+    std::uint64_t changes() const { return changes_; }
+    /// Whether the latest announcement of any endpoint in service is older than `silence`.
+    bool any_silent_for(milliseconds silence, instant now) const;
+    /// Endpoints announced after a revision without a change, with ages.
+    std::vector<schema::endpoint_pulse> pulses_since(std::uint64_t revision, instant now) const;
+    /// Records that changed after a revision, with ages.
+    std::vector<schema::endpoint_record> records_since(std::uint64_t revision, instant now) const;
+
+    /// Removes endpoints that haven't been heard for `forget_after`.
+    void forget_old(instant now);
+
+private:
+    bool merge(const schema::endpoint_record& record, instant heard);
+    void store(endpoint_state& endpoint, const schema::endpoint_record& record, instant heard);
+    void note_change(endpoint_state& endpoint);
+    void retire_replaced_endpoints(const schema::endpoint_record& record);
+
+    endpoint_directory_settings settings_;
+    std::map<endpoint_id, endpoint_state> endpoints_;
+    std::uint64_t revision_ = 0;
+    std::uint64_t changes_ = 0;
+};
+
+} // namespace cassia::membership
--- a/lib/gateway/cluster_client.cpp
+++ b/lib/gateway/cluster_client.cpp
@@ -41,7 +41,7 @@
       keeper_client_({}, [this](const peer_address& to,
                                 schema::envelope& message) { hub_.send(to, message); }),
       followed_(settings.name(), zone_id(settings.zone())), roster_(settings.name()),
-      directory_(membership::directory_settings()),
+      directory_(membership::endpoint_directory_settings()),
       usage_(entry_id(settings.name()), zone_id(settings.zone()),
              {[this](const entry_id& to, schema::envelope& envelope) {
                   return send_to_gateway(to, envelope);
@@ -224,7 +224,7 @@
     const peer_address from(beacon.keeper());
     last_control_beacon_at_ = now;
     control_keepers_[from] = now;
-    followed_.heard(from, beacon.in_touch(), now);
+    followed_.record_reply(from, beacon.in_touch(), now);
     update_endpoints(beacon, now);
     update_gateways(beacon);
 }
@@ -264,7 +264,7 @@
 }
 
 void cluster_client::update_gateways(const schema::keeper_beacon& beacon) {
-    if (!roster_.learn(peer_address(beacon.keeper()), beacon))
+    if (!roster_.apply_beacon(peer_address(beacon.keeper()), beacon))
         return;
     std::vector<policy::fleet_gateway> gateways;
     for (const std::pair<const entry_id, schema::entry_hello>& gateway : roster_.entries())
@@ -279,9 +279,9 @@
     keeper.directory_epoch = beacon.directory_epoch();
     keeper.directory_revision = beacon.directory_revision();
     for (const schema::endpoint_record& record : beacon.endpoints())
-        directory_.told(record, now);
+        directory_.merge_remote(record, now);
     for (const schema::endpoint_pulse& pulse : beacon.pulses())
-        directory_.told(pulse, now);
+        directory_.merge_remote(pulse, now);
     publish_endpoints(now);
 }
 
@@ -294,7 +294,7 @@
     // Endpoints are judged as of the last beacon of a control keeper: while none can be heard, the
     // endpoints known last are the best guess.
     std::vector<policy::slot_endpoint> endpoints;
-    for (const membership::endpoint_entry* entry :
+    for (const membership::endpoint_state* entry :
          directory_.serving(std::min(now, last_control_beacon_at_))) {
         const schema::endpoint_record& record = entry->record;
         endpoints.push_back({endpoint_id(record.id()), record.incarnation(),
--- a/lib/keeper/group_replica.cpp
+++ b/lib/keeper/group_replica.cpp
@@ -39,7 +39,7 @@
         return false;
     consensus::raft_log log({snapshot.index(), term_number(snapshot.term()),
                              consensus::members_from_proto(snapshot.members())});
-    for (const consensus::entry_pointer& entry : recovered.entries)
+    for (const consensus::log_entry_ptr& entry : recovered.entries)
         log.append(entry);
     positions_ = recovered.positions;
     first_position_index_ = snapshot.index() + 1;
@@ -119,7 +119,7 @@
 }
 
 void group_replica::transfer_leadership(instant now) {
-    raft_->hand_over(now);
+    raft_->transfer_leadership(now);
 }
 
 // The next leader may still commit what was proposed here, so the outcome is reported as unknown
@@ -139,13 +139,13 @@
 std::vector<schema::raft_message> group_replica::perform_actions(pending_sync& pending,
                                                                  instant now) {
     consensus::raft_actions actions = raft_->take_actions();
-    std::vector<schema::raft_message> out = std::move(actions.now);
+    std::vector<schema::raft_message> out = std::move(actions.immediate_messages);
     append_to_log(actions, pending);
-    for (const consensus::entry_pointer& entry : actions.committed)
+    for (const consensus::log_entry_ptr& entry : actions.committed_entries)
         apply_entry(entry);
-    for (const disk_id member : actions.need_snapshot)
+    for (const disk_id member : actions.members_needing_snapshot)
         start_snapshot_transfer(member);
-    for (const schema::raft_message& snapshot : actions.snapshots)
+    for (const schema::raft_message& snapshot : actions.snapshot_messages)
         receive_snapshot_part(snapshot, now, out);
     continue_snapshot_transfers(now, out);
     take_snapshot_if_due(now);
@@ -160,30 +160,30 @@
         record.mutable_state()->set_voted_for(actions.vote->voted_for.value());
         store_.log().append(record.SerializeAsString());
     }
-    if (actions.cut_after) {
-        record.set_cut_after(*actions.cut_after);
+    if (actions.truncate_after) {
+        record.set_cut_after(*actions.truncate_after);
         store_.log().append(record.SerializeAsString());
-        const std::uint64_t kept = *actions.cut_after + 1 - first_position_index_;
+        const std::uint64_t kept = *actions.truncate_after + 1 - first_position_index_;
         while (positions_.size() > kept)
             positions_.pop_back();
     }
-    for (const consensus::entry_pointer& entry : actions.append) {
+    for (const consensus::log_entry_ptr& entry : actions.new_entries) {
         *record.mutable_entry() = *entry;
         positions_.push_back(store_.log().append(record.SerializeAsString()));
         bytes_since_snapshot_ += entry->payload().size();
     }
-    if (!actions.append.empty()) {
-        const consensus::entry_pointer& last = actions.append.back();
+    if (!actions.new_entries.empty()) {
+        const consensus::log_entry_ptr& last = actions.new_entries.back();
         pending.appended.push_back({settings_.group, last->index(), term_number(last->term())});
     }
-    std::move(actions.synced.begin(), actions.synced.end(), std::back_inserter(pending.messages));
+    std::move(actions.messages_after_sync.begin(), actions.messages_after_sync.end(), std::back_inserter(pending.messages));
 }
 
 void group_replica::on_persisted(std::uint64_t index, term_number term) {
     raft_->persisted(index, term);
 }
 
-void group_replica::apply_entry(const consensus::entry_pointer& entry) {
+void group_replica::apply_entry(const consensus::log_entry_ptr& entry) {
     schema::keeper_reply reply;
     if (entry->kind() == schema::log_entry::command)
         reply = state_machine_.apply(entry->payload(),
--- a/lib/keeper/group_snapshots.cpp
+++ b/lib/keeper/group_snapshots.cpp
@@ -73,7 +73,7 @@
         log_info("snapshot_transfer_done")
             .with("group", settings_.group.value())
             .with("to", from.value());
-        raft_->member_restored(from, index, now);
+        raft_->snapshot_delivered(from, index, now);
         on_actions_pending_();
         return;
     }
@@ -116,7 +116,7 @@
     }
     install_in_progress_ = true;
     const consensus::log_base base = snapshot_receiver_.base();
-    raft_->installed(base, now);
+    raft_->snapshot_installed(base, now);
     positions_.clear();
     first_position_index_ = base.index + 1;
     bootstrapped_ = true;
--- a/lib/keeper/service.cpp
+++ b/lib/keeper/service.cpp
@@ -48,7 +48,7 @@
       planner_(initial_nodes(settings_)),
       node_(uses_seeds() ? settings_.peer_address() : settings_.name()),
       directory_({milliseconds(settings_.endpoint_silent_ms()),
-                  membership::directory_settings().forget_after}),
+                  membership::endpoint_directory_settings().forget_after}),
       directory_epoch_(random_bits()), roster_(directory_epoch_, gateway_timeout) {
     if (uses_seeds()) {
         planner_.set_target_size(group_size());
@@ -186,10 +186,10 @@
         if (!loaded)
             return false;
         group.state = std::move(loaded.value());
-        group.state.translate(relocations);
+        group.state.remap_positions(relocations);
         return true;
     };
-    machine.referenced_positions = [&group] { return group.state.positions(); };
+    machine.referenced_positions = [&group] { return group.state.referenced_positions(); };
     return machine;
 }
 
--- a/lib/keeper/service_discovery.cpp
+++ b/lib/keeper/service_discovery.cpp
@@ -151,7 +151,7 @@
             continue;
         found->second.last_seen = seen;
         found->second.hello.set_draining(sighting.draining());
-        roster_.saw(found->second.hello, seen);
+        roster_.observe(found->second.hello, seen);
     }
 }
 
@@ -178,9 +178,9 @@
         return;
     bool changed = false;
     for (const schema::endpoint_record& record : news.endpoints())
-        changed = directory_.told(record, now) || changed;
+        changed = directory_.merge_remote(record, now) || changed;
     for (const schema::endpoint_pulse& pulse : news.pulses())
-        directory_.told(pulse, now);
+        directory_.merge_remote(pulse, now);
     merge_sightings(news, now);
     received_revisions_[news.self().address()] = {news.directory_epoch(),
                                                   news.directory_revision()};
--- a/lib/keeper/service_gateways.cpp
+++ b/lib/keeper/service_gateways.cpp
@@ -59,7 +59,7 @@
     gateway.last_seen = now;
     gateway.last_heartbeat = now;
     if (hosts_control() && uses_seeds())
-        roster_.saw(hello, now);
+        roster_.observe(hello, now);
     const std::string holder = holder_name(hello);
     for (std::pair<const group_id, work_group>& group : work_groups_) {
         if (replicas_.at(group.first)->raft().leads())
@@ -143,7 +143,7 @@
     if (now - lists_refreshed_at_ < list_refresh_interval)
         return;
     lists_refreshed_at_ = now;
-    roster_.refresh(now);
+    roster_.mark_lost(now);
     keepers_digest_ = compute_keepers_digest();
 }
 
--- a/lib/keeper/work_leader.cpp
+++ b/lib/keeper/work_leader.cpp
@@ -127,7 +127,7 @@
             if (--*outstanding > 0)
                 return;
             const state::result<void> completed =
-                state_.fill_leased(*merged->mutable_work(), hooks_.read_record);
+                state_.fill_leased_items(*merged->mutable_work(), hooks_.read_record);
             if (!completed) {
                 log_error("lease_failed").with("cause", completed.error().text);
                 merged->set_result(schema::keeper_reply::unavailable);
@@ -232,7 +232,7 @@
         }
         schema::keeper_reply answer;
         if (job != state_.jobs().end())
-            state::write_view(job->second, *answer.mutable_work()->mutable_job());
+            state::fill_job_view(job->second, *answer.mutable_work()->mutable_job());
         cancel.reply(std::move(answer));
     }
     pending_cancels_ = std::move(still_pending);
--- a/unittests/keeper/endpoint_file_test.cpp
+++ b/unittests/keeper/endpoint_file_test.cpp
@@ -25,9 +25,9 @@
     return record;
 }
 
-std::set<std::string> serving_ids(const membership::directory& directory, instant now) {
+std::set<std::string> serving_ids(const membership::endpoint_directory& directory, instant now) {
     std::set<std::string> ids;
-    for (const membership::endpoint_entry* endpoint : directory.serving(now))
+    for (const membership::endpoint_state* endpoint : directory.serving(now))
         ids.insert(endpoint->record.id());
     return ids;
 }
@@ -35,37 +35,37 @@
 } // namespace
 
 TEST_CASE("endpoints saved before a restart of the whole cluster serve at once", "[keeper]") {
-    membership::directory before({});
-    before.announced(make_endpoint("1", 5), start);
-    before.announced(make_endpoint("2", 5), start);
-    before.announced(make_endpoint("3", 5, true), start);
+    membership::endpoint_directory before({});
+    before.merge_announcement(make_endpoint("1", 5), start);
+    before.merge_announcement(make_endpoint("2", 5), start);
+    before.merge_announcement(make_endpoint("3", 5, true), start);
     const std::string content = encode_endpoints(before, start);
-    membership::directory after({});
+    membership::endpoint_directory after({});
     CHECK(decode_endpoints(after, content, start) == 3);
     CHECK(serving_ids(after, start) == std::set<std::string>{"1", "2"});
     SECTION("until their silence times out") {
-        after.announced(make_endpoint("1", 6), start + milliseconds(900));
+        after.merge_announcement(make_endpoint("1", 6), start + milliseconds(900));
         CHECK(serving_ids(after, start + milliseconds(2100)) == std::set<std::string>{"1"});
     }
     SECTION("until they announce that they leave") {
-        after.announced(make_endpoint("2", 6, true), start + milliseconds(100));
+        after.merge_announcement(make_endpoint("2", 6, true), start + milliseconds(100));
         CHECK(serving_ids(after, start + milliseconds(200)) == std::set<std::string>{"1"});
     }
     SECTION("a delayed announcement doesn't revive a leaving endpoint") {
-        after.announced(make_endpoint("3", 4), start + milliseconds(100));
+        after.merge_announcement(make_endpoint("3", 4), start + milliseconds(100));
         CHECK(serving_ids(after, start + milliseconds(200)) == std::set<std::string>{"1", "2"});
     }
     SECTION("a new process at the same address replaces the old one") {
         schema::endpoint_record successor = make_endpoint("9", 1);
         successor.set_address("10.0.0.1:1");
         successor.set_incarnation(8);
-        after.announced(successor, start + milliseconds(100));
+        after.merge_announcement(successor, start + milliseconds(100));
         CHECK(serving_ids(after, start + milliseconds(200)) == std::set<std::string>{"2", "9"});
     }
 }
 
 TEST_CASE("a damaged endpoint file restores no endpoints", "[keeper]") {
-    membership::directory after({});
+    membership::endpoint_directory after({});
     CHECK(decode_endpoints(after, "\xff\xff", start) == 0);
     CHECK(serving_ids(after, start).empty());
 }
