--- a/include/cassia/gateway/online_call.h
+++ b/include/cassia/gateway/online_call.h
@@ -6,7 +6,7 @@
 #include "cassia/gateway/event_splitter.h"
 #include "cassia/gateway/run_moves.h"
 #include "cassia/net/raw_http.h"
-#include "cassia/policy/quota_gate.h"
+#include "cassia/policy/quota_enforcer.h"
 #include "cassia/policy/slot_table.h"
 #include "cassia/routes/table.h"
 
--- a/include/cassia/gateway/quota_link.h
+++ b/include/cassia/gateway/quota_link.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "cassia/base/ids.h"
-#include "cassia/policy/quota_gate.h"
+#include "cassia/policy/quota_enforcer.h"
 #include "cassia/schema/messages.pb.h"
 
 #include <cstdint>
--- a/lib/policy/quota_gate.cpp
+++ b/lib/policy/quota_enforcer.cpp
@@ -1,4 +1,4 @@
-#include "cassia/policy/quota_gate.h"
+#include "cassia/policy/quota_enforcer.h"
 
 #include "cassia/base/digest.h"
 
--- a/lib/policy/stream_pace.cpp
+++ b/lib/policy/stall_timeout_estimator.cpp
@@ -1,4 +1,4 @@
-#include "cassia/policy/stream_pace.h"
+#include "cassia/policy/stall_timeout_estimator.h"
 
 #include <algorithm>
 #include <cmath>
--- a/unittests/policy/quota_fleet.h
+++ b/unittests/policy/quota_simulation.h
@@ -1,7 +1,7 @@
 /// Gateways in virtual time that keep teams' quotas, for tests.
 #pragma once
 
-#include "cassia/policy/quota_gate.h"
+#include "cassia/policy/quota_enforcer.h"
 
 #include <algorithm>
 #include <cmath>
--- a/unittests/policy/quota_ways_test.cpp
+++ b/unittests/policy/quota_strategies_test.cpp
@@ -1,6 +1,6 @@
 // Ways to keep a quota over all gateways, on the same loads. Prints a table: run with "[ways]".
 
-#include "quota_fleet.h"
+#include "quota_simulation.h"
 
 #include "cassia/policy/admission.h"
 
--- a/unittests/policy/refusal_test.cpp
+++ b/unittests/policy/route_table_wait_test.cpp
@@ -1,6 +1,6 @@
 // When callers that are turned away come back.
 
-#include "cassia/policy/refusal.h"
+#include "cassia/policy/route_table_wait.h"
 
 #include <catch2/catch.hpp>
 
--- a/unittests/policy/team_quota_test.cpp
+++ b/unittests/policy/team_quota_test.cpp
@@ -1,7 +1,7 @@
 // Quotas over simulated gateways: what a team gets through in any window, and who is wrongly
 // rejected, while owners fail, freeze and are cut off.
 
-#include "quota_fleet.h"
+#include "quota_simulation.h"
 
 #include <catch2/catch.hpp>
 
