--- a/include/cassia/entry/online_calls.h
+++ b/include/cassia/entry/online_calls.h
@@ -139,7 +139,7 @@
     std::function<void(batch_offers)> on_batch_offers_;
     net::http_client client_;
     policy::router router_;
-    policy::waiting_room waiting_;
+    policy::fair_queue waiting_;
     policy::retry_budget retries_;
     crash_blame blame_;
     std::map<team_id, policy::rate_limiter> rates_;
--- a/include/cassia/gateway/dispatcher.h
+++ b/include/cassia/gateway/dispatcher.h
@@ -106,7 +106,7 @@
     run_move_calls moves_;
     std::map<exchange_id, std::unique_ptr<online_call>> calls_;
     policy::request_queue queue_;
-    std::map<service_id, policy::stream_pace> paces_;
+    std::map<service_id, policy::stall_timeout_estimator> paces_;
     std::mt19937_64 random_;
 };
 
--- a/include/cassia/gateway/fleet_link.h
+++ b/include/cassia/gateway/fleet_link.h
@@ -32,7 +32,7 @@
 struct fleet_hooks {
     std::function<void(std::shared_ptr<const routes::table>)> on_routes;
     std::function<void(const std::vector<policy::slot_endpoint>&)> on_endpoints;
-    std::function<void(const entry_id&, policy::use_map)> on_uses;
+    std::function<void(const entry_id&, policy::slot_usage_map)> on_uses;
     /// Another gateway needs slots that batch items of this one hold.
     std::function<void(const endpoint_id&, std::uint32_t slots)> on_yield;
     /// Jobs whose items must stop.
@@ -61,7 +61,7 @@
     /// Tells a keeper that leads the group, once, without an answer.
     void tell_held(schema::held_items held, group_id group);
     /// Tells other gateways what this one has under way, as far as that is due.
-    void share_uses(const policy::use_map& uses) { usage_.share(uses); }
+    void share_uses(const policy::slot_usage_map& uses) { usage_.share(uses); }
     /// \param holder as the slot table names it.
     void ask_to_yield(const entry_id& holder, const endpoint_id& endpoint, std::uint32_t slots) {
         usage_.ask_to_yield(holder, endpoint, slots);
--- a/include/cassia/gateway/quota_link.h
+++ b/include/cassia/gateway/quota_link.h
@@ -29,7 +29,7 @@
     /// Decides on a request; with `asked`, `flush` sends the ask.
     policy::quota_decision admit(const team_id& team);
     void give_back(const policy::quota_grant& grant);
-    void forget(std::uint64_t ask) { gate_.forget(ask); }
+    void forget(std::uint64_t ask) { gate_.cancel_ask(ask); }
     /// Sends what is due and passes decisions on.
     void flush();
     /// \returns false if the message is of another kind.
@@ -41,7 +41,7 @@
 
     entry_id self_;
     quota_hooks hooks_;
-    policy::quota_gate gate_;
+    policy::quota_enforcer gate_;
 };
 
 } // namespace cassia::gateway
--- a/include/cassia/gateway/usage_link.h
+++ b/include/cassia/gateway/usage_link.h
@@ -16,7 +16,7 @@
     /// Sends to another gateway. \returns false if its address is unknown.
     std::function<bool(const entry_id& to, schema::envelope&)> send;
     /// What another gateway or a zone has under way, for the slot table.
-    std::function<void(const entry_id& holder, policy::use_map)> on_uses;
+    std::function<void(const entry_id& holder, policy::slot_usage_map)> on_uses;
     /// Another gateway needs slots that batch items of this one hold.
     std::function<void(const endpoint_id&, std::uint32_t slots)> on_yield;
 };
@@ -28,7 +28,7 @@
     void set_gateways(std::vector<policy::fleet_gateway> others);
     void leave() { exchange_.leave(); }
     /// Sends what is due of what this gateway has under way.
-    void share(const policy::use_map& uses);
+    void share(const policy::slot_usage_map& uses);
     /// \param holder a gateway, or a zone by its key in the slot table.
     void ask_to_yield(const entry_id& holder, const endpoint_id& endpoint, std::uint32_t slots);
     /// Takes a message of another gateway; others are ignored.
--- a/include/cassia/policy/admission.h
+++ b/include/cassia/policy/admission.h
@@ -44,9 +44,9 @@
 
 /// Requests that wait for a slot, a queue a team, served by weighted virtual time, so that a
 /// team that sends much waits behind its own requests and not others behind them.
-class waiting_room {
+class fair_queue {
 public:
-    explicit waiting_room(std::size_t capacity) : capacity_(capacity) {}
+    explicit fair_queue(std::size_t capacity) : capacity_(capacity) {}
 
     /// \returns false if the room is full for this team: its share of a full room is in
     /// proportion to its weight.
--- a/include/cassia/policy/batch_scheduler.h
+++ b/include/cassia/policy/batch_scheduler.h
@@ -26,7 +26,7 @@
 };
 
 /// Whether an item that starts now will be done too late.
-bool is_late(std::uint64_t deadline, std::uint64_t at);
+bool would_miss_deadline(std::uint64_t deadline, std::uint64_t at);
 /// Whether an item can still be on time, but has used up most of the time that its job has.
 /// \param due_ms from the submission of its job to its deadline.
 bool is_urgent(std::uint64_t deadline, std::uint64_t due_ms, std::uint64_t at);
--- a/include/cassia/policy/quota_enforcer.h
+++ b/include/cassia/policy/quota_enforcer.h
@@ -28,7 +28,7 @@
 enum class quota_verdict : std::uint8_t {
     admitted,
     rejected, ///< beyond the quota
-    asked,    ///< comes later, with the number of the ask
+    pending,  ///< comes later, with the number of the ask
 };
 
 struct quota_decision {
@@ -45,11 +45,11 @@
     std::vector<quota_decision> decisions;
 };
 
-class quota_gate {
+class quota_enforcer {
 public:
     /// \param incarnation of this gateway; grows from process to process.
     /// \param tolerance the more, the fewer requests wait for an owner's answer.
-    quota_gate(entry_id self, std::uint64_t incarnation, quota_tolerance tolerance);
+    quota_enforcer(entry_id self, std::uint64_t incarnation, quota_tolerance tolerance);
 
     /// Replaces the other gateways that live.
     void set_gateways(const std::vector<fleet_gateway>& others, instant now);
@@ -59,14 +59,14 @@
 
     quota_decision admit(const team_id& team, instant now);
     /// The request has not run and never will.
-    void give_back(const quota_grant& grant, instant now);
+    void refund(const quota_grant& grant, instant now);
     /// The caller of a request that was asked for has left.
-    void forget(std::uint64_t ask);
+    void cancel_ask(std::uint64_t ask);
 
     void receive(const entry_id& from, const quota_report& report, instant now);
     void receive(const entry_id& from, const quota_reply& reply, instant now);
     /// What is due now.
-    quota_output due(instant now);
+    quota_output poll(instant now);
 
     /// Gateways that own quotas, and whether one is avoided.
     const std::vector<entry_id>& owners() const { return owners_; }
--- a/include/cassia/policy/quota_ledger.h
+++ b/include/cassia/policy/quota_ledger.h
@@ -28,7 +28,7 @@
     double part = 0;     ///< of what the quota allows in a window, 0 to 1
     double window_s = 0; ///< length of a window, seconds
 
-    double beyond(const teams::quota& quota) const {
+    double max_excess(const teams::quota& quota) const {
         return requests + part * (quota.rate.per_second * window_s + quota.burst.value);
     }
 };
@@ -48,7 +48,7 @@
     quota_reply receive(const entry_id& from, const quota_report& report, instant now);
     /// Decides on one request of this gateway itself, or of another.
     quota_answer ask(const team_id& team, instant now);
-    void give_back(const team_id& team, instant now);
+    void refund(const team_id& team, instant now);
     /// Passes time. \returns what gateways must know at once.
     std::vector<std::pair<entry_id, quota_reply>> tick(instant now);
 
--- a/include/cassia/policy/route_table_wait.h
+++ b/include/cassia/policy/route_table_wait.h
@@ -9,12 +9,12 @@
 
 /// How long a gateway that has no table of routes yet keeps a caller, before it turns it away.
 /// \param may_come_back whether the caller has time to come back.
-milliseconds wait_for_routes(milliseconds left, bool may_come_back);
+milliseconds route_table_wait(milliseconds left, bool may_come_back);
 
 /// For a gateway that has no table of routes yet: when to come back, or nothing if the caller has
 /// no time for that, and is better kept until the table is there.
 /// \param left time that the caller still has.
 /// \param draw 0 to 1; spreads the callers.
-std::optional<milliseconds> come_back_with_routes(milliseconds left, double draw);
+std::optional<milliseconds> route_table_retry_after(milliseconds left, double draw);
 
 } // namespace cassia::policy
--- a/include/cassia/policy/slot_table.h
+++ b/include/cassia/policy/slot_table.h
@@ -29,27 +29,27 @@
 };
 
 /// What one entry, or several together, have under way at an endpoint.
-struct slot_use {
+struct slot_usage {
     std::uint32_t online = 0;
     std::uint32_t batch = 0;
-    std::uint32_t suspecting = 0; ///< entries whose last requests there came to nothing
+    std::uint32_t suspected_by = 0; ///< entries whose last requests there came to nothing
 
-    friend bool operator==(const slot_use&, const slot_use&) = default;
+    friend bool operator==(const slot_usage&, const slot_usage&) = default;
 };
 
-using use_map = std::map<endpoint_id, slot_use>;
+using slot_usage_map = std::map<endpoint_id, slot_usage>;
 
 struct placement {
     endpoint_id endpoint;
     http_address address;
     /// Set if a batch item has to yield its slot: the entry that runs it, empty for this one.
-    std::optional<entry_id> yields;
+    std::optional<entry_id> yielding_gateway;
     std::int64_t free = 0; ///< slots that seemed free there
     bool on_trial = false; ///< its last requests came to nothing
 };
 
 /// Adds what somebody has under way to a sum.
-void add_uses(use_map& sum, const use_map& uses);
+void add_usage(slot_usage_map& sum, const slot_usage_map& uses);
 
 class slot_table {
 public:
@@ -58,26 +58,26 @@
     /// Replaces the endpoints; what is under way at those that stay is kept.
     void set_endpoints(const std::vector<slot_endpoint>& endpoints);
     /// What another entry, or those that one sums up, have under way, as it said last.
-    void set_others(const entry_id& entry, use_map uses, instant now);
+    void set_remote_usage(const entry_id& entry, slot_usage_map uses, instant now);
     /// Forgets entries that said nothing for long: their work is gone with them.
-    void forget_others(instant now);
+    void expire_remote_usage(instant now);
 
-    void take(const endpoint_id& endpoint, work_kind kind);
+    void acquire(const endpoint_id& endpoint, work_kind kind);
     void release(const endpoint_id& endpoint, work_kind kind);
     /// What this entry has under way, and which endpoints it suspects, to be told to the others.
-    use_map own_uses() const;
+    slot_usage_map own_usage() const;
 
     /// A request came to nothing there. For a while, longer each time, it gets none; after that it
     /// is on trial until one is answered. \returns for how long it gets none.
-    milliseconds suspect(const endpoint_id& endpoint, instant now);
+    milliseconds record_failure(const endpoint_id& endpoint, instant now);
     /// A request was answered there.
-    void trust(const endpoint_id& endpoint);
+    void record_success(const endpoint_id& endpoint);
     /// A stream from there paused for too long. One may have lost a packet; if another pauses
     /// before anything else is heard from there, the endpoint is suspected. \returns for how long
     /// it gets no requests, 0 if it still does.
-    milliseconds note_stall(const endpoint_id& endpoint, instant now);
+    milliseconds record_stall(const endpoint_id& endpoint, instant now);
     /// Something of a stream came from there.
-    void note_progress(const endpoint_id& endpoint);
+    void record_progress(const endpoint_id& endpoint);
 
     /// Where an online request goes: a free slot near by, one further off, or one that batch holds.
     /// Nothing if every slot serves an online request.
@@ -100,11 +100,11 @@
     /// An entry that runs batch items there; this one if it does (empty), or any other.
     std::optional<entry_id> batch_holder(const endpoint_id& endpoint) const;
     /// The same where all slots are taken; nothing where an item that yields makes no room.
-    std::optional<entry_id> holder_in_the_way(const endpoint_id& endpoint) const;
+    std::optional<entry_id> batch_holder_if_full(const endpoint_id& endpoint) const;
     /// Slots of a service that batch may still take.
-    std::uint32_t batch_room(const service_id& service, instant now) const;
+    std::uint32_t batch_capacity(const service_id& service, instant now) const;
     std::uint32_t total_slots(const service_id& service, instant now) const;
-    bool knows(const endpoint_id& endpoint) const { return endpoints_.count(endpoint) > 0; }
+    bool contains(const endpoint_id& endpoint) const { return endpoints_.count(endpoint) > 0; }
 
 private:
     struct known_endpoint {
@@ -114,7 +114,7 @@
         bool stalled = false;       ///< a stream paused, and nothing was heard from there since
     };
     struct other_entry {
-        use_map uses;
+        slot_usage_map uses;
         instant heard{};
     };
     struct candidate {
@@ -124,8 +124,8 @@
         bool on_trial = false;           ///< to be used where there is nothing else
     };
 
-    void take_from_others(const use_map& uses);
-    slot_use total_use(const endpoint_id& endpoint) const;
+    void take_from_others(const slot_usage_map& uses);
+    slot_usage total_use(const endpoint_id& endpoint) const;
     std::uint32_t suspecting_others(const endpoint_id& endpoint) const;
     std::vector<candidate> candidates(const service_id& service, const std::set<endpoint_id>& avoid,
                                       instant now) const;
@@ -137,10 +137,10 @@
 
     zone_id own_zone_;
     std::map<endpoint_id, known_endpoint> endpoints_;
-    use_map own_;
+    slot_usage_map own_;
     std::map<entry_id, other_entry> others_;
     /// Sums of `others_`: with 64 of them each placement would add up some thousand counts.
-    use_map others_total_;
+    slot_usage_map others_total_;
 };
 
 } // namespace cassia::policy
--- a/include/cassia/policy/stall_timeout_estimator.h
+++ b/include/cassia/policy/stall_timeout_estimator.h
@@ -8,13 +8,13 @@
 namespace cassia::policy {
 
 /// The pauses between events of one service's streams, as observed.
-class stream_pace {
+class stall_timeout_estimator {
 public:
-    void note(microseconds pause);
+    void record_pause(microseconds pause);
     /// Silence after which a stream goes on at another endpoint, if one has a free slot.
     /// \param longest_pause longest one between two events of this stream so far; 0 if none.
     /// \param allowed_pause longest one that is still on time; 0 if that isn't known.
-    microseconds stall_limit(microseconds longest_pause, milliseconds allowed_pause) const;
+    microseconds stall_timeout(microseconds longest_pause, milliseconds allowed_pause) const;
 
 private:
     std::uint64_t noted_ = 0;
--- a/include/cassia/policy/token_bucket.h
+++ b/include/cassia/policy/token_bucket.h
@@ -29,7 +29,7 @@
         fill(now);
         level_ -= count;
     }
-    void give_back(double count, instant now) {
+    void refund(double count, instant now) {
         fill(now);
         level_ = std::min(capacity_, level_ + count);
     }
--- a/include/cassia/policy/usage_exchange.h
+++ b/include/cassia/policy/usage_exchange.h
@@ -24,7 +24,7 @@
 };
 
 /// What whole zones have under way; the same sum goes to many gateways.
-using zone_uses = std::map<zone_id, std::shared_ptr<const use_map>>;
+using zone_usage_map = std::map<zone_id, std::shared_ptr<const slot_usage_map>>;
 
 /// What is to be sent to another gateway.
 struct usage_message {
@@ -35,8 +35,8 @@
     };
     entry_id to; ///< this gateway itself: for its own slot table
     content kind = content::own_use;
-    use_map own;     ///< with `own_use` and `report`
-    zone_uses zones; ///< with `sums`: those that the receiver wasn't told yet
+    slot_usage_map own;   ///< with `own_use` and `report`
+    zone_usage_map zones; ///< with `sums`: those that the receiver wasn't told yet
 };
 
 /// Where a request for a slot that a batch item holds goes next.
@@ -54,10 +54,11 @@
     /// This gateway is no relay any more.
     void leave();
     /// What is due now. \param own what this gateway has under way.
-    std::vector<usage_message> due(const use_map& own, instant now);
-    void take_report(const entry_id& from, use_map uses, instant now);
+    std::vector<usage_message> poll(const slot_usage_map& own, instant now);
+    void receive_report(const entry_id& from, slot_usage_map uses, instant now);
     /// \returns whether they count: those of the own zone come from the relay chosen.
-    bool take_sums(const entry_id& relay, const zone_id& zone, const zone_uses& zones, instant now);
+    bool receive_sums(const entry_id& relay, const zone_id& zone, const zone_usage_map& zones,
+                      instant now);
 
     /// Whether the fleet is too large for each gateway to tell all others.
     bool uses_relays() const;
@@ -65,36 +66,38 @@
     std::optional<entry_id> relay() const;
     /// A gateway that may give up a slot there, as far as this relay knows; counted as given up
     /// until the gateway reports anew. \param own_zone_only not to ask the relays of other zones.
-    std::optional<yield_target> choose_yielding(const endpoint_id& endpoint, bool own_zone_only);
+    std::optional<yield_target> choose_yield_target(const endpoint_id& endpoint,
+                                                    bool own_zone_only);
 
     /// The name under which a slot table keeps what a zone has under way.
     static entry_id zone_key(const zone_id& zone);
 
 private:
     struct report {
-        use_map uses;
+        slot_usage_map uses;
         instant heard{};
-        use_map told_own_zone; ///< sum that it was sent last
-        zone_uses told_zones;  ///< the same of the other zones
-        instant told_at{};     ///< the own zone's sum
+        slot_usage_map told_own_zone; ///< sum that it was sent last
+        zone_usage_map told_zones;    ///< the same of the other zones
+        instant told_at{};            ///< the own zone's sum
     };
     struct zone_sum {
-        std::shared_ptr<const use_map> uses;
+        std::shared_ptr<const slot_usage_map> uses;
         entry_id relay;
         instant heard{};
     };
     struct told_use {
-        use_map uses;
+        slot_usage_map uses;
         instant at{};
     };
 
     void rank();
-    void tell_all(const use_map& own, instant now, std::vector<usage_message>& out);
-    void tell_relay(const use_map& own, instant now, std::vector<usage_message>& out);
-    std::optional<usage_message> sums_for(const entry_id& to, report& one, const use_map& all,
-                                          instant now) const;
-    void publish(const use_map& own, instant now, std::vector<usage_message>& out);
-    void tell_other_zones(const use_map& own_zone, instant now, std::vector<usage_message>& out);
+    void tell_all(const slot_usage_map& own, instant now, std::vector<usage_message>& out);
+    void tell_relay(const slot_usage_map& own, instant now, std::vector<usage_message>& out);
+    std::optional<usage_message> sums_for(const entry_id& to, report& one,
+                                          const slot_usage_map& all, instant now) const;
+    void publish(const slot_usage_map& own, instant now, std::vector<usage_message>& out);
+    void tell_other_zones(const slot_usage_map& own_zone, instant now,
+                          std::vector<usage_message>& out);
     void choose_relay(instant now);
     void forget_silent(instant now);
 
@@ -109,7 +112,7 @@
     std::map<entry_id, instant> avoided_until_; ///< relays that failed
     std::map<entry_id, report> reports_;
     std::map<zone_id, zone_sum> zones_; ///< of the other zones
-    use_map own_;
+    slot_usage_map own_;
     std::map<entry_id, told_use> told_all_;
     told_use told_relay_;
     told_use told_zones_;
--- a/lib/gateway/dispatch_answers.cpp
+++ b/lib/gateway/dispatch_answers.cpp
@@ -35,7 +35,7 @@
         call.refused_by_endpoint = true;
         return;
     }
-    slots_.trust(call.endpoint);
+    slots_.record_success(call.endpoint);
     if (!is_own_answer(call, head)) {
         suspect(call, call.progress_at);
         retry_or_fail(call, "answer_of_another_request");
@@ -62,7 +62,7 @@
         return;
     online_call& call = *found->second;
     call.progress_at = monotonic_now();
-    slots_.note_progress(call.endpoint);
+    slots_.record_progress(call.endpoint);
     if (call.first_byte_at < call.sent_at)
         call.first_byte_at = call.progress_at;
     if (!call.is_stream() || call.passes_failure) {
@@ -122,7 +122,7 @@
             const microseconds pause =
                 std::chrono::duration_cast<microseconds>(call.progress_at - call.last_event_at);
             call.longest_pause = std::max(call.longest_pause, pause);
-            paces_[call.service].note(pause);
+            paces_[call.service].record_pause(pause);
         }
         call.last_event_at = call.progress_at;
     }
--- a/lib/gateway/dispatch_moves.cpp
+++ b/lib/gateway/dispatch_moves.cpp
@@ -26,8 +26,8 @@
     const std::optional<policy::placement> place = place_elsewhere(call, now);
     if (!place)
         return;
-    slots_.note_stall(call.endpoint, now);
-    slots_.take(place->endpoint, policy::work_kind::online);
+    slots_.record_stall(call.endpoint, now);
+    slots_.acquire(place->endpoint, policy::work_kind::online);
     call.move = run_move{};
     call.move.tried = true;
     call.move.to = *place;
--- a/lib/gateway/dispatch_time.cpp
+++ b/lib/gateway/dispatch_time.cpp
@@ -88,7 +88,7 @@
         }
         return;
     }
-    const milliseconds suspended = slots_.note_stall(call.endpoint, now);
+    const milliseconds suspended = slots_.record_stall(call.endpoint, now);
     metrics_.count("streams_moved");
     log_info("stream_moved")
         .with("request", call.request_id)
@@ -102,8 +102,8 @@
 }
 
 microseconds dispatcher::stall_limit(const online_call& call) {
-    return paces_[call.service].stall_limit(call.longest_pause,
-                                            milliseconds(call.route->pause_ms()));
+    return paces_[call.service].stall_timeout(call.longest_pause,
+                                              milliseconds(call.route->pause_ms()));
 }
 
 microseconds dispatcher::silence_limit(const online_call& call) const {
@@ -120,7 +120,7 @@
 // endpoint full though a slot was free when it was sent. Once that is known, one of the batch items
 // there makes room; one that begins late for another reason would gain nothing by it.
 void dispatcher::hurry(online_call& call, instant now) {
-    const std::optional<entry_id> holder = slots_.holder_in_the_way(call.endpoint);
+    const std::optional<entry_id> holder = slots_.batch_holder_if_full(call.endpoint);
     if (!holder)
         return;
     call.hurried_at = now;
--- a/lib/gateway/dispatcher.cpp
+++ b/lib/gateway/dispatcher.cpp
@@ -91,7 +91,7 @@
         return;
     }
     call.phase = call.phase == call_phase::answering ? call.phase : call_phase::waiting;
-    if (!queue_.has(call.id))
+    if (!queue_.contains(call.id))
         log_info("request_queued")
             .with("request", call.request_id)
             .with("service", call.service.str())
@@ -118,10 +118,10 @@
 }
 
 void dispatcher::send(online_call& call, const policy::placement& place) {
-    if (place.yields)
-        hooks_.yield_slot(*place.yields, place.endpoint);
-    queue_.serve(call.id);
-    slots_.take(place.endpoint, policy::work_kind::online);
+    if (place.yielding_gateway)
+        hooks_.yield_slot(*place.yielding_gateway, place.endpoint);
+    queue_.remove_served(call.id);
+    slots_.acquire(place.endpoint, policy::work_kind::online);
     call.holds_slot = true;
     call.endpoint = place.endpoint;
     call.address = place.address;
@@ -145,7 +145,7 @@
         .with("endpoint", place.endpoint.str())
         .with("free", place.free)
         .with("on_trial", place.on_trial ? 1 : 0)
-        .with("yields", place.yields ? "1" : "0")
+        .with("yields", place.yielding_gateway ? "1" : "0")
         .with("send", call.sends)
         .with("behind_event", call.last_event);
     const exchange_id id = call.id;
@@ -182,7 +182,7 @@
 }
 
 void dispatcher::suspect(const online_call& call, instant now) {
-    const milliseconds pause = slots_.suspect(call.endpoint, now);
+    const milliseconds pause = slots_.record_failure(call.endpoint, now);
     client_.forget(call.address);
     log_info("endpoint_suspended")
         .with("endpoint", call.endpoint.str())
--- a/lib/gateway/item_answers.cpp
+++ b/lib/gateway/item_answers.cpp
@@ -28,7 +28,7 @@
     item.progress_at = monotonic_now();
     item.not_run = head.fields.has(names_.not_run) || head.status == status_misdirected;
     item.status = head.status;
-    slots_.trust(item.endpoint);
+    slots_.record_success(item.endpoint);
     if (item.not_run)
         return;
     const bool own = head.fields.find(names_.request_id) == item.leased.item().custom_id();
@@ -102,7 +102,7 @@
     item.avoided.insert(item.endpoint);
     const bool stale_connection = failure.kept && !failure.answered;
     if (!stale_connection)
-        slots_.suspect(item.endpoint, monotonic_now());
+        slots_.record_failure(item.endpoint, monotonic_now());
     const std::uint32_t pauses = std::min(item.runs, most_pauses);
     put_back(item, stale_connection ? milliseconds(0) : broken_pause * pauses, failure.cause.text);
 }
--- a/lib/gateway/item_runner.cpp
+++ b/lib/gateway/item_runner.cpp
@@ -89,7 +89,7 @@
         return;
     for (const schema::route* route : table_->of_kind(schema::route::batch)) {
         const service_id service(route->targets(0).service());
-        const std::uint32_t room = slots_.batch_room(service, now);
+        const std::uint32_t room = slots_.batch_capacity(service, now);
         if (room == 0)
             continue;
         const std::uint32_t limit = std::min(room, most_ready - static_cast<std::uint32_t>(ready));
@@ -133,7 +133,7 @@
     std::vector<std::tuple<bool, std::uint64_t, item_key>> ready;
     for (const std::pair<const item_key, std::unique_ptr<held_item>>& one : items_) {
         if (one.second->attempt == call_id() && now >= one.second->ready_at)
-            ready.emplace_back(policy::is_late(one.second->leased.deadline(), at),
+            ready.emplace_back(policy::would_miss_deadline(one.second->leased.deadline(), at),
                                one.second->leased.deadline(), one.first);
     }
     std::sort(ready.begin(), ready.end());
@@ -180,7 +180,7 @@
         item.avoided.clear();
         return false;
     }
-    slots_.take(place->endpoint, policy::work_kind::batch);
+    slots_.acquire(place->endpoint, policy::work_kind::batch);
     item.endpoint = place->endpoint;
     item.progress_at = now;
     item.started = ++starts_;
@@ -303,7 +303,7 @@
         if (item.attempt == call_id() || now - item.progress_at < silence_limit)
             continue;
         item.avoided.insert(item.endpoint);
-        slots_.suspect(item.endpoint, now);
+        slots_.record_failure(item.endpoint, now);
         put_back(item, milliseconds(0), "endpoint_silent");
     }
 }
--- a/lib/gateway/quota_link.cpp
+++ b/lib/gateway/quota_link.cpp
@@ -30,7 +30,7 @@
 }
 
 void quota_link::give_back(const policy::quota_grant& grant) {
-    gate_.give_back(grant, monotonic_now());
+    gate_.refund(grant, monotonic_now());
 }
 
 static schema::envelope to_message(const entry_id& self, const policy::quota_report& report) {
@@ -77,7 +77,7 @@
 }
 
 void quota_link::flush() {
-    policy::quota_output out = gate_.due(monotonic_now());
+    policy::quota_output out = gate_.poll(monotonic_now());
     for (const std::pair<entry_id, policy::quota_report>& one : out.reports) {
         schema::envelope envelope = to_message(self_, one.second);
         hooks_.send(one.first, envelope);
--- a/lib/gateway/request_admission.cpp
+++ b/lib/gateway/request_admission.cpp
@@ -31,7 +31,7 @@
     case policy::quota_verdict::rejected:
         reject_quota(request, decision.retry_after);
         break;
-    case policy::quota_verdict::asked:
+    case policy::quota_verdict::pending:
         metrics_.count("quota_asked");
         asked_[decision.ask] = std::move(request);
         quota_.flush();
--- a/lib/gateway/service.cpp
+++ b/lib/gateway/service.cpp
@@ -80,8 +80,8 @@
         slots_.set_endpoints(endpoints);
         dispatcher_->serve_waiting();
     };
-    fleet.on_uses = [this](const entry_id& entry, policy::use_map uses) {
-        slots_.set_others(entry, std::move(uses), monotonic_now());
+    fleet.on_uses = [this](const entry_id& entry, policy::slot_usage_map uses) {
+        slots_.set_remote_usage(entry, std::move(uses), monotonic_now());
     };
     fleet.on_yield = [this](const endpoint_id& endpoint, std::uint32_t slots) {
         items_->yield(endpoint, slots);
@@ -129,8 +129,8 @@
     net::on_signal(task_, SIGUSR1, [this] { log_info("state_dump").with("dump", dump()); });
     task_.every(tick_interval, [this] { tick(); });
     task_.every(share_interval, [this] {
-        slots_.forget_others(monotonic_now());
-        fleet_->share_uses(slots_.own_uses());
+        slots_.expire_remote_usage(monotonic_now());
+        fleet_->share_uses(slots_.own_usage());
     });
     task_.every(traffic_log_interval, [this] { fleet_->peers().log_sent(); });
     task_.every(held_interval, [this] {
@@ -213,8 +213,8 @@
         net::read_milliseconds(request.fields.find(names_.deadline)).value_or(unnamed_deadline);
     std::uniform_real_distribution<double> draw(0, 1);
     const std::optional<milliseconds> come_back =
-        policy::come_back_with_routes(left, draw(random_));
-    const instant until = now + policy::wait_for_routes(left, come_back.has_value());
+        policy::route_table_retry_after(left, draw(random_));
+    const instant until = now + policy::route_table_wait(left, come_back.has_value());
     log_info("request_kept")
         .with("request", request.fields.find(names_.request_id))
         .with("cause", "no_routes")
--- a/lib/gateway/service_status.cpp
+++ b/lib/gateway/service_status.cpp
@@ -64,7 +64,7 @@
     out["endpoint_connections_made"] = client_->counts().connections_made;
     out["endpoint_connections_reused"] = client_->counts().connections_reused;
     boost::json::object uses;
-    for (const std::pair<const endpoint_id, policy::slot_use>& one : slots_.own_uses())
+    for (const std::pair<const endpoint_id, policy::slot_usage>& one : slots_.own_usage())
         uses[one.first.str()] = {{"online", one.second.online}, {"batch", one.second.batch}};
     out["own_uses"] = std::move(uses);
     return boost::json::serialize(out);
--- a/lib/gateway/usage_link.cpp
+++ b/lib/gateway/usage_link.cpp
@@ -7,23 +7,23 @@
 
 namespace cassia::gateway {
 
+using policy::slot_usage_map;
 using policy::usage_message;
-using policy::use_map;
 
 template <class Message>
-static void write_uses(const use_map& uses, Message& message) {
-    for (const std::pair<const endpoint_id, policy::slot_use>& one : uses) {
+static void write_uses(const slot_usage_map& uses, Message& message) {
+    for (const std::pair<const endpoint_id, policy::slot_usage>& one : uses) {
         schema::endpoint_use* use = message.add_uses();
         use->set_endpoint(one.first.str());
         use->set_online(one.second.online);
         use->set_batch(one.second.batch);
-        use->set_suspects(one.second.suspecting);
+        use->set_suspects(one.second.suspected_by);
     }
 }
 
 template <class Message>
-static use_map read_uses(const Message& message) {
-    use_map uses;
+static slot_usage_map read_uses(const Message& message) {
+    slot_usage_map uses;
     for (const schema::endpoint_use& use : message.uses())
         uses[endpoint_id(use.endpoint())] = {use.online(), use.batch(), use.suspects()};
     return uses;
@@ -37,8 +37,8 @@
     exchange_.set_gateways(std::move(others));
 }
 
-void usage_link::share(const use_map& uses) {
-    for (const usage_message& message : exchange_.due(uses, monotonic_now()))
+void usage_link::share(const slot_usage_map& uses) {
+    for (const usage_message& message : exchange_.poll(uses, monotonic_now()))
         send(message);
     const entry_id relay = exchange_.relay().value_or(entry_id());
     if (relay == logged_relay_)
@@ -49,7 +49,7 @@
 
 void usage_link::send(const usage_message& message) {
     if (message.to == self_) {
-        for (const policy::zone_uses::value_type& one : message.zones)
+        for (const policy::zone_usage_map::value_type& one : message.zones)
             hooks_.on_uses(policy::usage_exchange::zone_key(one.first), *one.second);
         return;
     }
@@ -64,7 +64,7 @@
         schema::usage_sums* sums = envelope.mutable_sums();
         sums->set_entry(self_.str());
         sums->set_zone(zone_.str());
-        for (const policy::zone_uses::value_type& one : message.zones) {
+        for (const policy::zone_usage_map::value_type& one : message.zones) {
             schema::zone_usage* zone = sums->add_zones();
             zone->set_zone(one.first.str());
             write_uses(*one.second, *zone);
@@ -79,8 +79,8 @@
         hooks_.on_uses(entry_id(message.rumor().entry()), read_uses(message.rumor()));
         break;
     case schema::envelope::kUsage:
-        exchange_.take_report(entry_id(message.usage().entry()), read_uses(message.usage()),
-                              monotonic_now());
+        exchange_.receive_report(entry_id(message.usage().entry()), read_uses(message.usage()),
+                                 monotonic_now());
         break;
     case schema::envelope::kSums:
         on_sums(message.sums());
@@ -94,12 +94,13 @@
 }
 
 void usage_link::on_sums(const schema::usage_sums& sums) {
-    policy::zone_uses zones;
+    policy::zone_usage_map zones;
     for (const schema::zone_usage& one : sums.zones())
-        zones[zone_id(one.zone())] = std::make_shared<use_map>(read_uses(one));
-    if (!exchange_.take_sums(entry_id(sums.entry()), zone_id(sums.zone()), zones, monotonic_now()))
+        zones[zone_id(one.zone())] = std::make_shared<slot_usage_map>(read_uses(one));
+    if (!exchange_.receive_sums(entry_id(sums.entry()), zone_id(sums.zone()), zones,
+                                monotonic_now()))
         return;
-    for (const policy::zone_uses::value_type& one : zones)
+    for (const policy::zone_usage_map::value_type& one : zones)
         hooks_.on_uses(policy::usage_exchange::zone_key(one.first), *one.second);
 }
 
@@ -129,7 +130,7 @@
 void usage_link::relay_yield(const schema::yield_request& request) {
     for (std::uint32_t i = 0; i < request.slots(); ++i) {
         const std::optional<policy::yield_target> target =
-            exchange_.choose_yielding(endpoint_id(request.endpoint()), request.relayed());
+            exchange_.choose_yield_target(endpoint_id(request.endpoint()), request.relayed());
         if (!target)
             return;
         if (target->gateway == self_) {
--- a/lib/policy/admission.cpp
+++ b/lib/policy/admission.cpp
@@ -43,7 +43,7 @@
     return passed_ * std::exp(-seconds_between(passed_at_, now) / rate_memory_s) / rate_memory_s;
 }
 
-bool waiting_room::add(const waiting_request& request) {
+bool fair_queue::add(const waiting_request& request) {
     double weights = request.weight;
     for (const std::pair<const team_id, line>& one : lines_) {
         if (one.first != request.team)
@@ -64,7 +64,7 @@
     return true;
 }
 
-void waiting_room::remove(exchange_id exchange) {
+void fair_queue::remove(exchange_id exchange) {
     for (auto one = lines_.begin(); one != lines_.end(); ++one) {
         std::deque<waiting_request>& requests = one->second.requests;
         auto found = std::find_if(
@@ -80,7 +80,7 @@
     }
 }
 
-std::vector<exchange_id> waiting_room::expired(instant now) {
+std::vector<exchange_id> fair_queue::expired(instant now) {
     std::vector<exchange_id> late;
     for (const std::pair<const team_id, line>& one : lines_) {
         for (const waiting_request& request : one.second.requests) {
@@ -93,7 +93,7 @@
     return late;
 }
 
-void waiting_room::offer(const std::function<bool(exchange_id)>& take) {
+void fair_queue::offer(const std::function<bool(exchange_id)>& take) {
     // Each team's place in its line, so that a request that can't go is passed by once.
     std::map<team_id, std::size_t> places;
     while (true) {
--- a/lib/policy/batch_scheduler.cpp
+++ b/lib/policy/batch_scheduler.cpp
@@ -23,24 +23,25 @@
     return found == weights_.end() ? 1.0 : found->second;
 }
 
-bool is_late(std::uint64_t deadline, std::uint64_t at) {
+bool would_miss_deadline(std::uint64_t deadline, std::uint64_t at) {
     return at != 0 && deadline != 0 && deadline < at + least_run_ms;
 }
 
 // On a loaded fleet items are interrupted by each wave of online requests. Kept out of the reserve
 // in between, those that have waited longest miss their deadline beside slots that nobody uses.
 bool is_urgent(std::uint64_t deadline, std::uint64_t due_ms, std::uint64_t at) {
-    return deadline != 0 && !is_late(deadline, at) && deadline < at + due_ms / urgent_part;
+    return deadline != 0 && !would_miss_deadline(deadline, at) &&
+           deadline < at + due_ms / urgent_part;
 }
 
 // Nearest deadline first, as long as it can be met. Once more waits than can be served, the nearest
 // are those just missed, and all jobs would be late one after the other.
 static bool is_more_urgent(const job_candidate& a, const job_candidate& b, std::uint64_t at) {
     const std::uint64_t never = UINT64_MAX;
-    return std::make_tuple(is_late(a.deadline, at), a.deadline == 0 ? never : a.deadline, a.created,
-                           a.job) < std::make_tuple(is_late(b.deadline, at),
-                                                    b.deadline == 0 ? never : b.deadline, b.created,
-                                                    b.job);
+    return std::make_tuple(would_miss_deadline(a.deadline, at),
+                           a.deadline == 0 ? never : a.deadline, a.created, a.job) <
+           std::make_tuple(would_miss_deadline(b.deadline, at),
+                           b.deadline == 0 ? never : b.deadline, b.created, b.job);
 }
 
 std::vector<lease_choice> batch_schedule::choose(std::vector<job_candidate> candidates,
--- a/lib/policy/quota_enforcer.cpp
+++ b/lib/policy/quota_enforcer.cpp
@@ -25,19 +25,19 @@
 constexpr double us_per_s = 1e6;
 } // namespace
 
-quota_gate::quota_gate(entry_id self, std::uint64_t incarnation, quota_tolerance tolerance)
+quota_enforcer::quota_enforcer(entry_id self, std::uint64_t incarnation, quota_tolerance tolerance)
     : self_(std::move(self)), incarnation_(incarnation), ledger_(self_, incarnation, tolerance) {
     rank();
 }
 
-bool quota_gate::is_avoided(const entry_id& owner) const {
+bool quota_enforcer::is_avoided(const entry_id& owner) const {
     auto found = states_.find(owner);
     return found != states_.end() && found->second.failed_at != instant();
 }
 
 // A square root of the fleet owns: an owner hears of all gateways and a gateway of all owners, and
 // both numbers grow alike. Every gateway ranks by the same hashes.
-void quota_gate::rank() {
+void quota_enforcer::rank() {
     std::vector<entry_id> able;
     if (!leaving_)
         able.push_back(self_);
@@ -74,14 +74,14 @@
 }
 
 // A gateway that reaches no owner goes by its own part of the quota.
-const entry_id& quota_gate::owner_of(std::uint32_t shard) const {
+const entry_id& quota_enforcer::owner_of(std::uint32_t shard) const {
     const std::vector<entry_id>& ranked = ranked_[shard];
     auto found = std::find_if(ranked.begin(), ranked.end(),
                               [this](const entry_id& one) { return !is_avoided(one); });
     return found == ranked.end() ? self_ : *found;
 }
 
-void quota_gate::update_shards(instant now) {
+void quota_enforcer::update_shards(instant now) {
     shard_set own = 0;
     for (std::pair<const entry_id, owner_state>& one : states_)
         one.second.shards = 0;
@@ -92,7 +92,7 @@
     ledger_.set_own_shards(own, now);
 }
 
-void quota_gate::set_gateways(const std::vector<fleet_gateway>& others, instant now) {
+void quota_enforcer::set_gateways(const std::vector<fleet_gateway>& others, instant now) {
     const bool first = !knows_fleet_;
     knows_fleet_ = true;
     if (!first && others == others_)
@@ -104,28 +104,28 @@
     redirect_asks(entry_id(), now);
 }
 
-void quota_gate::set_quotas(quota_map quotas, instant now) {
+void quota_enforcer::set_quotas(quota_map quotas, instant now) {
     quotas_ = quotas;
     ledger_.set_quotas(std::move(quotas), now);
     denials_.clear();
 }
 
-void quota_gate::leave(instant now) {
+void quota_enforcer::leave(instant now) {
     leaving_ = true;
     rank();
     update_shards(now);
     redirect_asks(entry_id(), now);
 }
 
-bool quota_gate::admits_by_itself(const owner_state& owner, const team_id& team,
-                                  instant now) const {
+bool quota_enforcer::admits_by_itself(const owner_state& owner, const team_id& team,
+                                      instant now) const {
     auto reported = owner.totals.find(team);
     const bool one_under_way = reported != owner.totals.end() && !reported->second.answered;
     return !one_under_way && owner.open.count(team) > 0 && now - owner.answered_at < open_lease;
 }
 
 // Until a token can be there again nobody is asked; each one rejected returns behind the last.
-std::optional<quota_decision> quota_gate::reject_known(const team_id& team, instant now) {
+std::optional<quota_decision> quota_enforcer::reject_known(const team_id& team, instant now) {
     auto found = denials_.find(team);
     if (found == denials_.end())
         return std::nullopt;
@@ -141,8 +141,9 @@
     return decision;
 }
 
-quota_decision quota_gate::decide(const team_id& team, const entry_id& owner, std::uint64_t epoch,
-                                  const quota_answer& answer, instant now) {
+quota_decision quota_enforcer::decide(const team_id& team, const entry_id& owner,
+                                      std::uint64_t epoch, const quota_answer& answer,
+                                      instant now) {
     quota_decision decision;
     if (answer.granted) {
         decision.grant = {team, owner, epoch};
@@ -154,7 +155,7 @@
     return decision;
 }
 
-quota_decision quota_gate::admit(const team_id& team, instant now) {
+quota_decision quota_enforcer::admit(const team_id& team, instant now) {
     auto quota = quotas_.find(team);
     if (quota == quotas_.end() || !quota->second.is_limited())
         return {};
@@ -162,7 +163,7 @@
         return *known;
     if (!knows_fleet_) {
         asks_[++last_ask_] = {team, entry_id(), now, 0};
-        return {quota_verdict::asked, milliseconds(0), {}, last_ask_};
+        return {quota_verdict::pending, milliseconds(0), {}, last_ask_};
     }
     const entry_id& owner = owner_of(shard_of(team));
     if (owner == self_)
@@ -178,10 +179,10 @@
     }
     asks_[++last_ask_] = {team, entry_id(), now, 0};
     send_ask(last_ask_, asks_.at(last_ask_), now);
-    return {quota_verdict::asked, milliseconds(0), {}, last_ask_};
+    return {quota_verdict::pending, milliseconds(0), {}, last_ask_};
 }
 
-bool quota_gate::send_ask(std::uint64_t id, open_ask& one, instant now) {
+bool quota_enforcer::send_ask(std::uint64_t id, open_ask& one, instant now) {
     one.owner = one.tries < most_owners_asked ? owner_of(shard_of(one.team)) : self_;
     one.asked_at = now;
     ++one.tries;
@@ -194,35 +195,35 @@
     return false;
 }
 
-void quota_gate::redirect_asks(const entry_id& owner, instant now) {
+void quota_enforcer::redirect_asks(const entry_id& owner, instant now) {
     for (auto one = asks_.begin(); one != asks_.end();) {
         const bool kept = one->second.owner != owner || send_ask(one->first, one->second, now);
         one = kept ? std::next(one) : asks_.erase(one);
     }
 }
 
-void quota_gate::finish_ask(std::uint64_t id, const open_ask& one, quota_decision decision,
-                            instant now) {
+void quota_enforcer::finish_ask(std::uint64_t id, const open_ask& one, quota_decision decision,
+                                instant now) {
     if (one.forgotten) {
-        give_back(decision.grant, now);
+        refund(decision.grant, now);
         return;
     }
     decision.ask = id;
     decisions_.push_back(std::move(decision));
 }
 
-void quota_gate::forget(std::uint64_t ask) {
+void quota_enforcer::cancel_ask(std::uint64_t ask) {
     auto found = asks_.find(ask);
     if (found != asks_.end())
         found->second.forgotten = true;
 }
 
-void quota_gate::give_back(const quota_grant& grant, instant now) {
+void quota_enforcer::refund(const quota_grant& grant, instant now) {
     if (grant.team.empty())
         return;
     if (grant.owner == self_) {
         if (grant.epoch == ledger_.epoch())
-            ledger_.give_back(grant.team, now);
+            ledger_.refund(grant.team, now);
         return;
     }
     auto found = states_.find(grant.owner);
@@ -235,11 +236,11 @@
     own.sequence = 0;
 }
 
-void quota_gate::receive(const entry_id& from, const quota_report& report, instant now) {
+void quota_enforcer::receive(const entry_id& from, const quota_report& report, instant now) {
     replies_.emplace_back(from, ledger_.receive(from, report, now));
 }
 
-void quota_gate::receive(const entry_id& from, const quota_reply& reply, instant now) {
+void quota_enforcer::receive(const entry_id& from, const quota_reply& reply, instant now) {
     auto found = states_.find(from);
     if (found == states_.end())
         return;
@@ -279,7 +280,7 @@
     }
 }
 
-void quota_gate::fail(const entry_id& owner, instant now) {
+void quota_enforcer::fail(const entry_id& owner, instant now) {
     owner_state& state = states_.at(owner);
     state.failed_at = now;
     state.open.clear();
@@ -292,7 +293,7 @@
     redirect_asks(owner, now);
 }
 
-void quota_gate::check_owners(instant now) {
+void quota_enforcer::check_owners(instant now) {
     for (const entry_id& owner : owners_) {
         auto found = states_.find(owner);
         if (found == states_.end() || found->second.failed_at != instant())
@@ -303,7 +304,7 @@
     }
 }
 
-void quota_gate::check_asks(instant now) {
+void quota_enforcer::check_asks(instant now) {
     std::set<entry_id> unanswering;
     for (std::pair<const std::uint64_t, open_ask>& one : asks_) {
         if (now - one.second.asked_at <= ask_timeout)
@@ -320,7 +321,7 @@
     }
 }
 
-bool quota_gate::is_report_due(const owner_state& state, instant now) {
+bool quota_enforcer::is_report_due(const owner_state& state, instant now) {
     if (now - state.reported_at >= heartbeat_interval)
         return true;
     if (state.failed_at != instant())
@@ -334,7 +335,7 @@
                        [](const auto& one) { return one.second.sequence == 0; });
 }
 
-quota_report quota_gate::report_to(owner_state& state, instant now) const {
+quota_report quota_enforcer::report_to(owner_state& state, instant now) const {
     quota_report report;
     report.incarnation = incarnation_;
     report.sequence = ++state.sequence;
@@ -356,7 +357,7 @@
     return report;
 }
 
-quota_output quota_gate::due(instant now) {
+quota_output quota_enforcer::poll(instant now) {
     quota_output out;
     if (checked_at_ != instant() && now - checked_at_ > longest_pause) {
         for (std::pair<const entry_id, owner_state>& one : states_)
--- a/lib/policy/quota_ledger.cpp
+++ b/lib/policy/quota_ledger.cpp
@@ -55,8 +55,8 @@
     const double capacity = std::max(1.0, quota.burst.value * part);
     one.bucket.set_limit(quota.rate.per_second * part, capacity, now);
     if (part > one.credited) {
-        one.bucket.give_back((part - one.credited) * tolerance_at_start * tolerance_.beyond(quota),
-                             now);
+        one.bucket.refund((part - one.credited) * tolerance_at_start * tolerance_.max_excess(quota),
+                          now);
         one.credited = part;
     }
     update_open(team, one, now);
@@ -66,7 +66,7 @@
 // for each of them while the team is open.
 void quota_ledger::update_open(const team_id& team, account& one, instant now) {
     const double part = shares_.at(shard_of(team)).part;
-    const double tolerated = tolerance_under_way * tolerance_.beyond(quotas_.at(team));
+    const double tolerated = tolerance_under_way * tolerance_.max_excess(quotas_.at(team));
     const double unreported = (static_cast<double>(fleet_size_) - tolerated) * part;
     const double margin = one.open ? 0 : one.bucket.capacity() * reopening_margin;
     const bool open = part > 0 && one.bucket.level(now) >= std::max(unreported, 1.0) + margin;
@@ -98,7 +98,7 @@
         if (reported.admitted > known.admitted)
             one->bucket.take(static_cast<double>(reported.admitted - known.admitted), now);
         if (reported.returned > known.returned)
-            one->bucket.give_back(static_cast<double>(reported.returned - known.returned), now);
+            one->bucket.refund(static_cast<double>(reported.returned - known.returned), now);
         update_open(reported.team, *one, now);
     }
     known = {reported.team, std::max(known.admitted, reported.admitted),
@@ -172,9 +172,9 @@
     return answer;
 }
 
-void quota_ledger::give_back(const team_id& team, instant now) {
+void quota_ledger::refund(const team_id& team, instant now) {
     if (account* one = find_account(team, now))
-        one->bucket.give_back(1, now);
+        one->bucket.refund(1, now);
 }
 
 // Each gateway asks one owner about a team at a time and brings its part of the rate along, so
--- a/lib/policy/request_queue.cpp
+++ b/lib/policy/request_queue.cpp
@@ -8,7 +8,7 @@
 
 // A team that joins stands level with the one served least: it neither waits for what others had
 // before, nor is owed anything for it.
-void request_queue::add(const waiting_request& request) {
+void request_queue::add(const queued_request& request) {
     if (turns_.count(request.team) == 0) {
         auto least =
             std::min_element(turns_.begin(), turns_.end(),
@@ -18,7 +18,7 @@
     waiting_[request.id] = request;
 }
 
-void request_queue::serve(exchange_id id) {
+void request_queue::remove_served(exchange_id id) {
     auto found = waiting_.find(id);
     if (found == waiting_.end())
         return;
@@ -41,12 +41,12 @@
 // Oldest first would give each slot to the request whose target is just missed, once the line is
 // longer than the target: all would be late. A late one waits until none on time does.
 std::optional<exchange_id> request_queue::next(const service_id& service, instant now) const {
-    const auto rank = [this, now](const waiting_request& one) {
-        return std::make_tuple(now > one.on_time_until, one.priority, turns_.at(one.team),
-                               one.on_time_until, one.id);
+    const auto rank = [this, now](const queued_request& one) {
+        return std::make_tuple(now > one.target_deadline, one.priority, turns_.at(one.team),
+                               one.target_deadline, one.id);
     };
-    const waiting_request* first = nullptr;
-    for (const std::pair<const exchange_id, waiting_request>& one : waiting_) {
+    const queued_request* first = nullptr;
+    for (const std::pair<const exchange_id, queued_request>& one : waiting_) {
         if (one.second.service != service)
             continue;
         if (first == nullptr || rank(one.second) < rank(*first))
@@ -57,10 +57,10 @@
     return first->id;
 }
 
-std::vector<exchange_id> request_queue::hopeless(instant now) const {
+std::vector<exchange_id> request_queue::expired(instant now) const {
     std::vector<exchange_id> out;
-    for (const std::pair<const exchange_id, waiting_request>& one : waiting_) {
-        if (now > one.second.give_up_at)
+    for (const std::pair<const exchange_id, queued_request>& one : waiting_) {
+        if (now > one.second.expires_at)
             out.push_back(one.first);
     }
     return out;
@@ -68,7 +68,7 @@
 
 std::vector<service_id> request_queue::services() const {
     std::set<service_id> names;
-    for (const std::pair<const exchange_id, waiting_request>& one : waiting_)
+    for (const std::pair<const exchange_id, queued_request>& one : waiting_)
         names.insert(one.second.service);
     return {names.begin(), names.end()};
 }
--- a/lib/policy/route_table_wait.cpp
+++ b/lib/policy/route_table_wait.cpp
@@ -18,13 +18,13 @@
 constexpr milliseconds spread(500);
 } // namespace
 
-milliseconds wait_for_routes(milliseconds left, bool may_come_back) {
+milliseconds route_table_wait(milliseconds left, bool may_come_back) {
     return may_come_back ? std::min(routes_awaited, left) : left * latest_percent / 100;
 }
 
 // Without a time callers would come back at once, be turned away again, and have no try left when
 // the table is there.
-std::optional<milliseconds> come_back_with_routes(milliseconds left, double draw) {
+std::optional<milliseconds> route_table_retry_after(milliseconds left, double draw) {
     const milliseconds longest = left / longest_part;
     if (longest < routes_return)
         return std::nullopt;
--- a/lib/policy/slot_table.cpp
+++ b/lib/policy/slot_table.cpp
@@ -38,23 +38,23 @@
     endpoints_ = std::move(next);
 }
 
-void add_uses(use_map& sum, const use_map& uses) {
-    for (const std::pair<const endpoint_id, slot_use>& one : uses) {
-        slot_use& total = sum[one.first];
+void add_usage(slot_usage_map& sum, const slot_usage_map& uses) {
+    for (const std::pair<const endpoint_id, slot_usage>& one : uses) {
+        slot_usage& total = sum[one.first];
         total.online += one.second.online;
         total.batch += one.second.batch;
-        total.suspecting += one.second.suspecting;
+        total.suspected_by += one.second.suspected_by;
     }
 }
 
-void slot_table::set_others(const entry_id& entry, use_map uses, instant now) {
+void slot_table::set_remote_usage(const entry_id& entry, slot_usage_map uses, instant now) {
     other_entry& other = others_[entry];
     take_from_others(other.uses);
-    add_uses(others_total_, uses);
+    add_usage(others_total_, uses);
     other = {std::move(uses), now};
 }
 
-void slot_table::forget_others(instant now) {
+void slot_table::expire_remote_usage(instant now) {
     for (auto one = others_.begin(); one != others_.end();) {
         const bool silent = now - one->second.heard > others_forgotten_after;
         if (silent)
@@ -63,23 +63,23 @@
     }
 }
 
-void slot_table::take_from_others(const use_map& uses) {
-    for (const std::pair<const endpoint_id, slot_use>& one : uses) {
+void slot_table::take_from_others(const slot_usage_map& uses) {
+    for (const std::pair<const endpoint_id, slot_usage>& one : uses) {
         auto found = others_total_.find(one.first);
-        slot_use& total = found->second;
+        slot_usage& total = found->second;
         total.online -= one.second.online;
         total.batch -= one.second.batch;
-        total.suspecting -= one.second.suspecting;
-        if (total == slot_use())
+        total.suspected_by -= one.second.suspected_by;
+        if (total == slot_usage())
             others_total_.erase(found);
     }
 }
 
-static std::uint32_t& count_of(slot_use& use, work_kind kind) {
+static std::uint32_t& count_of(slot_usage& use, work_kind kind) {
     return kind == work_kind::online ? use.online : use.batch;
 }
 
-void slot_table::take(const endpoint_id& endpoint, work_kind kind) {
+void slot_table::acquire(const endpoint_id& endpoint, work_kind kind) {
     ++count_of(own_[endpoint], kind);
 }
 
@@ -92,7 +92,7 @@
         own_.erase(found);
 }
 
-milliseconds slot_table::suspect(const endpoint_id& endpoint, instant now) {
+milliseconds slot_table::record_failure(const endpoint_id& endpoint, instant now) {
     auto found = endpoints_.find(endpoint);
     if (found == endpoints_.end())
         return milliseconds(0);
@@ -104,7 +104,7 @@
     return pause;
 }
 
-void slot_table::trust(const endpoint_id& endpoint) {
+void slot_table::record_success(const endpoint_id& endpoint) {
     auto found = endpoints_.find(endpoint);
     if (found == endpoints_.end())
         return;
@@ -113,37 +113,37 @@
     found->second.stalled = false;
 }
 
-milliseconds slot_table::note_stall(const endpoint_id& endpoint, instant now) {
+milliseconds slot_table::record_stall(const endpoint_id& endpoint, instant now) {
     auto found = endpoints_.find(endpoint);
     if (found == endpoints_.end())
         return milliseconds(0);
     if (std::exchange(found->second.stalled, true))
-        return suspect(endpoint, now);
+        return record_failure(endpoint, now);
     return milliseconds(0);
 }
 
-void slot_table::note_progress(const endpoint_id& endpoint) {
+void slot_table::record_progress(const endpoint_id& endpoint) {
     auto found = endpoints_.find(endpoint);
     if (found != endpoints_.end())
         found->second.stalled = false;
 }
 
-use_map slot_table::own_uses() const {
-    use_map uses = own_;
+slot_usage_map slot_table::own_usage() const {
+    slot_usage_map uses = own_;
     for (const std::pair<const endpoint_id, known_endpoint>& one : endpoints_) {
         if (one.second.failures > 0)
-            uses[one.first].suspecting = 1;
+            uses[one.first].suspected_by = 1;
     }
     return uses;
 }
 
 std::uint32_t slot_table::suspecting_others(const endpoint_id& endpoint) const {
     auto found = others_total_.find(endpoint);
-    return found == others_total_.end() ? 0 : found->second.suspecting;
+    return found == others_total_.end() ? 0 : found->second.suspected_by;
 }
 
-slot_use slot_table::total_use(const endpoint_id& endpoint) const {
-    slot_use total;
+slot_usage slot_table::total_use(const endpoint_id& endpoint) const {
+    slot_usage total;
     auto own = own_.find(endpoint);
     if (own != own_.end())
         total = own->second;
@@ -157,7 +157,7 @@
 
 bool slot_table::is_full(const endpoint_id& endpoint) const {
     auto found = endpoints_.find(endpoint);
-    const slot_use use = total_use(endpoint);
+    const slot_usage use = total_use(endpoint);
     return found == endpoints_.end() || use.online + use.batch >= found->second.facts.slots;
 }
 
@@ -170,7 +170,7 @@
                             now >= one.second.suspended_until;
         if (!usable)
             continue;
-        const slot_use use = total_use(one.first);
+        const slot_usage use = total_use(one.first);
         const std::int64_t slots = one.second.facts.slots;
         candidate fitting{&one.second, slots - use.online - use.batch, slots - use.online, false};
         fitting.on_trial =
@@ -229,7 +229,7 @@
     return std::nullopt;
 }
 
-std::optional<entry_id> slot_table::holder_in_the_way(const endpoint_id& endpoint) const {
+std::optional<entry_id> slot_table::batch_holder_if_full(const endpoint_id& endpoint) const {
     return is_full(endpoint) ? batch_holder(endpoint) : std::nullopt;
 }
 
@@ -262,7 +262,7 @@
         for (const bool own_zone : {true, false}) {
             if (const candidate* yielding = best_yielding(all, own_zone, on_trial, draw)) {
                 placement place = placed_at(*yielding);
-                place.yields = batch_holder(place.endpoint);
+                place.yielding_gateway = batch_holder(place.endpoint);
                 return place;
             }
         }
@@ -285,7 +285,7 @@
 std::optional<placement> slot_table::place_batch(const service_id& service,
                                                  const std::set<endpoint_id>& avoid, instant now,
                                                  double draw, bool urgent) const {
-    if (!urgent && batch_room(service, now) == 0)
+    if (!urgent && batch_capacity(service, now) == 0)
         return std::nullopt;
     const std::vector<candidate> all = candidates(service, avoid, now);
     for (const bool on_trial : {true, false}) {
@@ -297,7 +297,7 @@
     return std::nullopt;
 }
 
-std::uint32_t slot_table::batch_room(const service_id& service, instant now) const {
+std::uint32_t slot_table::batch_capacity(const service_id& service, instant now) const {
     std::int64_t free = 0;
     std::int64_t slots = 0;
     for (const candidate& one : candidates(service, {}, now)) {
--- a/lib/policy/stall_timeout_estimator.cpp
+++ b/lib/policy/stall_timeout_estimator.cpp
@@ -21,7 +21,7 @@
 constexpr int unknown_part = 2; ///< of the allowed pause, while the pace isn't known
 } // namespace
 
-void stream_pace::note(microseconds pause) {
+void stall_timeout_estimator::record_pause(microseconds pause) {
     const double us = static_cast<double>(pause.count());
     if (noted_++ == 0) {
         mean_us_ = us;
@@ -33,8 +33,8 @@
 
 // By the stream alone, the first pauses of each one on slow engines would be taken for losses, and
 // streams begun elsewhere one after the other would slow all of them further.
-microseconds stream_pace::stall_limit(microseconds longest_pause,
-                                      milliseconds allowed_pause) const {
+microseconds stall_timeout_estimator::stall_timeout(microseconds longest_pause,
+                                                    milliseconds allowed_pause) const {
     const microseconds own(
         static_cast<std::int64_t>(paces_of_stall * static_cast<double>(longest_pause.count())));
     const microseconds usual =
--- a/lib/policy/usage_exchange.cpp
+++ b/lib/policy/usage_exchange.cpp
@@ -76,14 +76,14 @@
     }
 }
 
-void usage_exchange::take_report(const entry_id& from, use_map uses, instant now) {
+void usage_exchange::receive_report(const entry_id& from, slot_usage_map uses, instant now) {
     report& one = reports_[from];
     one.uses = std::move(uses);
     one.heard = now;
 }
 
-bool usage_exchange::take_sums(const entry_id& relay, const zone_id& zone, const zone_uses& zones,
-                               instant now) {
+bool usage_exchange::receive_sums(const entry_id& relay, const zone_id& zone,
+                                  const zone_usage_map& zones, instant now) {
     if (zone == zone_) {
         if (relay != relay_)
             return false;
@@ -128,7 +128,7 @@
     told_relay_ = told_use();
 }
 
-std::vector<usage_message> usage_exchange::due(const use_map& own, instant now) {
+std::vector<usage_message> usage_exchange::poll(const slot_usage_map& own, instant now) {
     std::vector<usage_message> out;
     own_ = own;
     forget_silent(now);
@@ -145,7 +145,8 @@
     return out;
 }
 
-void usage_exchange::tell_all(const use_map& own, instant now, std::vector<usage_message>& out) {
+void usage_exchange::tell_all(const slot_usage_map& own, instant now,
+                              std::vector<usage_message>& out) {
     for (const fleet_gateway& one : others_) {
         told_use& told = told_all_[one.id];
         if (told.uses == own && now - told.at < repeat_interval)
@@ -155,20 +156,21 @@
     }
 }
 
-void usage_exchange::tell_relay(const use_map& own, instant now, std::vector<usage_message>& out) {
+void usage_exchange::tell_relay(const slot_usage_map& own, instant now,
+                                std::vector<usage_message>& out) {
     if (told_relay_.uses == own && now - told_relay_.at < repeat_interval)
         return;
     told_relay_ = {own, now};
     out.push_back({relay_, usage_message::content::report, own, {}});
 }
 
-static use_map without(use_map sum, const use_map& part) {
-    for (const std::pair<const endpoint_id, slot_use>& one : part) {
+static slot_usage_map without(slot_usage_map sum, const slot_usage_map& part) {
+    for (const std::pair<const endpoint_id, slot_usage>& one : part) {
         auto found = sum.find(one.first);
         found->second.online -= one.second.online;
         found->second.batch -= one.second.batch;
-        found->second.suspecting -= one.second.suspecting;
-        if (found->second == slot_use())
+        found->second.suspected_by -= one.second.suspected_by;
+        if (found->second == slot_usage())
             sum.erase(found);
     }
     return sum;
@@ -176,37 +178,39 @@
 
 // Another zone's sum is sent once it was told anew; its relay repeats it.
 std::optional<usage_message> usage_exchange::sums_for(const entry_id& to, report& one,
-                                                      const use_map& all, instant now) const {
+                                                      const slot_usage_map& all,
+                                                      instant now) const {
     usage_message message{to, usage_message::content::sums, {}, {}};
     for (const std::pair<const zone_id, zone_sum>& zone : zones_) {
-        std::shared_ptr<const use_map>& told = one.told_zones[zone.first];
+        std::shared_ptr<const slot_usage_map>& told = one.told_zones[zone.first];
         if (told == zone.second.uses)
             continue;
         told = zone.second.uses;
         message.zones[zone.first] = told;
     }
-    use_map own_zone = without(all, one.uses);
+    slot_usage_map own_zone = without(all, one.uses);
     if (own_zone != one.told_own_zone || now - one.told_at >= sums_repeat_interval) {
         one.told_own_zone = own_zone;
         one.told_at = now;
-        message.zones[zone_] = std::make_shared<use_map>(std::move(own_zone));
+        message.zones[zone_] = std::make_shared<slot_usage_map>(std::move(own_zone));
     }
     if (message.zones.empty())
         return std::nullopt;
     return message;
 }
 
-void usage_exchange::publish(const use_map& own, instant now, std::vector<usage_message>& out) {
+void usage_exchange::publish(const slot_usage_map& own, instant now,
+                             std::vector<usage_message>& out) {
     const milliseconds spread =
         publish_time_per_reporter * static_cast<std::int64_t>(reports_.size());
     if (now - published_at_ < spread)
         return;
     published_at_ = now;
-    use_map others;
+    slot_usage_map others;
     for (const std::pair<const entry_id, report>& one : reports_)
-        add_uses(others, one.second.uses);
-    use_map all = others;
-    add_uses(all, own);
+        add_usage(others, one.second.uses);
+    slot_usage_map all = others;
+    add_usage(all, own);
     for (std::pair<const entry_id, report>& one : reports_) {
         if (std::optional<usage_message> message = sums_for(one.first, one.second, all, now))
             out.push_back(std::move(*message));
@@ -214,18 +218,18 @@
     if (relay_ != self_)
         return;
     usage_message to_self{self_, usage_message::content::sums, {}, {}};
-    to_self.zones[zone_] = std::make_shared<use_map>(std::move(others));
+    to_self.zones[zone_] = std::make_shared<slot_usage_map>(std::move(others));
     out.push_back(std::move(to_self));
     tell_other_zones(all, now, out);
 }
 
-void usage_exchange::tell_other_zones(const use_map& own_zone, instant now,
+void usage_exchange::tell_other_zones(const slot_usage_map& own_zone, instant now,
                                       std::vector<usage_message>& out) {
     const milliseconds interval = own_zone == told_zones_.uses ? repeat_interval : zones_interval;
     if (now - told_zones_.at < interval)
         return;
     told_zones_ = {own_zone, now};
-    const std::shared_ptr<const use_map> shared = std::make_shared<use_map>(own_zone);
+    const std::shared_ptr<const slot_usage_map> shared = std::make_shared<slot_usage_map>(own_zone);
     for (const std::pair<const zone_id, std::vector<entry_id>>& zone : ranked_) {
         if (zone.first == zone_)
             continue;
@@ -235,9 +239,9 @@
     }
 }
 
-std::optional<yield_target> usage_exchange::choose_yielding(const endpoint_id& endpoint,
-                                                            bool own_zone_only) {
-    const auto batch_at = [&endpoint](const use_map& uses) -> std::uint32_t {
+std::optional<yield_target> usage_exchange::choose_yield_target(const endpoint_id& endpoint,
+                                                                bool own_zone_only) {
+    const auto batch_at = [&endpoint](const slot_usage_map& uses) -> std::uint32_t {
         auto found = uses.find(endpoint);
         return found == uses.end() ? 0 : found->second.batch;
     };
--- a/unittests/policy/policy_test.cpp
+++ b/unittests/policy/policy_test.cpp
@@ -126,7 +126,7 @@
 
 // Story: one team sends a thousand calls at once, and everybody else's time out behind them.
 TEST_CASE("a greedy team waits behind itself", "[policy]") {
-    waiting_room room(1000);
+    fair_queue room(1000);
     std::uint64_t id = 0;
     for (int i = 0; i < 500; ++i)
         room.add({exchange_id(++id), team_id("greedy"), 1, start + milliseconds(1000)});
@@ -141,7 +141,7 @@
 }
 
 TEST_CASE("a full room has a place for each team's share", "[policy]") {
-    waiting_room room(100);
+    fair_queue room(100);
     std::uint64_t id = 0;
     int taken = 0;
     for (int i = 0; i < 300; ++i)
--- a/unittests/policy/quota_simulation.h
+++ b/unittests/policy/quota_simulation.h
@@ -69,7 +69,7 @@
 class fleet {
 public:
     struct gateway {
-        std::unique_ptr<quota_gate> gate;
+        std::unique_ptr<quota_enforcer> gate;
         instant frozen_until{};
         std::deque<std::pair<entry_id, quota_report>> held_reports; ///< came while it was frozen
         std::deque<std::pair<entry_id, quota_reply>> held_replies;
@@ -87,7 +87,7 @@
     void restart(std::size_t i) {
         gateways[i] = {};
         gateways[i].gate =
-            std::make_unique<quota_gate>(gateway_name(i), ++incarnations_, tolerance);
+            std::make_unique<quota_enforcer>(gateway_name(i), ++incarnations_, tolerance);
         gateways[i].gate->set_quotas(quotas_, now);
         std::erase_if(pending_, [i](const auto& one) { return one.first.first == i; });
         list_one(i);
@@ -115,7 +115,7 @@
         if (exactly)
             of.exact.take(1, now);
         const quota_decision decision = gateways[i].gate->admit(team, now);
-        if (decision.verdict == quota_verdict::asked) {
+        if (decision.verdict == quota_verdict::pending) {
             ++of.asked;
             pending_[{i, decision.ask}] = {team, exactly, now};
             return;
@@ -240,7 +240,7 @@
             one.gate->receive(one.held_replies.front().first, one.held_replies.front().second, now);
             one.held_replies.pop_front();
         }
-        quota_output out = one.gate->due(now);
+        quota_output out = one.gate->poll(now);
         for (auto& report : out.reports)
             post(i, report.first, std::move(report.second), std::nullopt);
         for (auto& reply : out.replies)
--- a/unittests/policy/quota_strategies_test.cpp
+++ b/unittests/policy/quota_strategies_test.cpp
@@ -176,7 +176,7 @@
     const load_case& small = loads[3];
     CHECK(play_owner(small, 2).record.wrongly_rejected <
           play_equal_shares(small, 2).record.wrongly_rejected);
-    const load_case& beyond = loads[4];
-    CHECK(play_owner(beyond, 2).record.excess(beyond.quota) <
-          play_told_rates(beyond, 2).record.excess(beyond.quota));
+    const load_case& over_quota = loads[4];
+    CHECK(play_owner(over_quota, 2).record.excess(over_quota.quota) <
+          play_told_rates(over_quota, 2).record.excess(over_quota.quota));
 }
--- a/unittests/policy/slots_test.cpp
+++ b/unittests/policy/slots_test.cpp
@@ -41,52 +41,53 @@
         now += milliseconds(50);
         const int who = static_cast<int>(random() % 6);
         const std::uint32_t count = random() % 8;
-        use_map uses;
+        slot_usage_map uses;
         if (count > 0)
             uses[endpoint_id("e0")] = {count, 0, 0};
         if (random() % 2 == 0)
             uses[endpoint_id("e1")] = {0, 1, 1};
-        book.set_others(entry_id("g" + std::to_string(who)), uses, now);
+        book.set_remote_usage(entry_id("g" + std::to_string(who)), uses, now);
         said[who] = {count, now};
-        book.forget_others(now);
+        book.expire_remote_usage(now);
         std::uint32_t sum = 0;
         for (const auto& one : said)
             sum += now - one.second.second > milliseconds(1500) ? 0 : one.second.first;
         CHECK(book.is_full(endpoint_id("e0")) == (sum >= 40));
     }
-    book.forget_others(now + milliseconds(2000));
-    CHECK(book.batch_room(model, now) == 80 - 80 / 8);
+    book.expire_remote_usage(now + milliseconds(2000));
+    CHECK(book.batch_capacity(model, now) == 80 - 80 / 8);
 }
 
 // Story: streams are begun anew all the time though nothing is lost, as their endpoint is slow; or
 // an endpoint that went dark keeps getting requests, as each pause is taken for a lost packet.
 TEST_CASE("a pause is measured by the stream's pace, two at once by the endpoint", "[slots]") {
     const auto pace_of = [](milliseconds pause) {
-        stream_pace pace;
+        stall_timeout_estimator pace;
         for (int i = 0; i < 400; ++i)
-            pace.note(pause + milliseconds(i % 2 == 0 ? 5 : -5));
+            pace.record_pause(pause + milliseconds(i % 2 == 0 ? 5 : -5));
         return pace;
     };
-    const stream_pace quick = pace_of(milliseconds(25));
-    CHECK(quick.stall_limit(microseconds(0), milliseconds(250)) == milliseconds(75));
-    CHECK(quick.stall_limit(milliseconds(25), milliseconds(250)) == milliseconds(75));
-    CHECK(quick.stall_limit(milliseconds(100), milliseconds(250)) == milliseconds(250));
+    const stall_timeout_estimator quick = pace_of(milliseconds(25));
+    CHECK(quick.stall_timeout(microseconds(0), milliseconds(250)) == milliseconds(75));
+    CHECK(quick.stall_timeout(milliseconds(25), milliseconds(250)) == milliseconds(75));
+    CHECK(quick.stall_timeout(milliseconds(100), milliseconds(250)) == milliseconds(250));
     // The first pause of a stream on slow engines.
     const microseconds slow =
-        pace_of(milliseconds(120)).stall_limit(microseconds(0), milliseconds(600));
+        pace_of(milliseconds(120)).stall_timeout(microseconds(0), milliseconds(600));
     CHECK(slow > milliseconds(130));
     CHECK(slow < milliseconds(160));
     // Nothing known yet.
-    CHECK(stream_pace().stall_limit(microseconds(0), milliseconds(600)) == milliseconds(300));
+    CHECK(stall_timeout_estimator().stall_timeout(microseconds(0), milliseconds(600)) ==
+          milliseconds(300));
 
     slot_table book = two_zones();
     const endpoint_id near("near");
     const auto best = [&book] { return book.place_online(model, {}, start, 0.5)->endpoint; };
-    CHECK(book.note_stall(near, start) == milliseconds(0));
-    book.note_progress(near);
-    CHECK(book.note_stall(near, start) == milliseconds(0));
+    CHECK(book.record_stall(near, start) == milliseconds(0));
+    book.record_progress(near);
+    CHECK(book.record_stall(near, start) == milliseconds(0));
     CHECK(best() == near);
-    CHECK(book.note_stall(near, start) == milliseconds(250));
+    CHECK(book.record_stall(near, start) == milliseconds(250));
     CHECK(best() == endpoint_id("far"));
 }
 
@@ -96,7 +97,7 @@
     slot_table book = two_zones();
     CHECK(book.place_stalled(model, {endpoint_id("near")}, start, 0.5)->endpoint ==
           endpoint_id("far"));
-    book.set_others(entry_id("other"), {{endpoint_id("far"), {1, 1}}}, start);
+    book.set_remote_usage(entry_id("other"), {{endpoint_id("far"), {1, 1}}}, start);
     CHECK(!book.place_stalled(model, {endpoint_id("near")}, start, 0.5));
     CHECK(book.place_online(model, {endpoint_id("near")}, start, 0.5));
 }
@@ -105,44 +106,44 @@
     slot_table book = two_zones();
     for (int i = 0; i < 2; ++i) {
         CHECK(book.place_online(model, {}, start, 0.5)->endpoint == endpoint_id("near"));
-        book.take(endpoint_id("near"), work_kind::online);
+        book.acquire(endpoint_id("near"), work_kind::online);
     }
     CHECK(book.place_online(model, {}, start, 0.5)->endpoint == endpoint_id("far"));
-    book.set_others(entry_id("other"), {{endpoint_id("far"), {2, 0}}}, start);
+    book.set_remote_usage(entry_id("other"), {{endpoint_id("far"), {2, 0}}}, start);
     CHECK(!book.place_online(model, {}, start, 0.5));
 }
 
 TEST_CASE("a full fleet makes batch yield to online requests", "[slots]") {
     slot_table book = two_zones();
-    book.set_others(entry_id("other"),
-                    {{endpoint_id("near"), {1, 1}}, {endpoint_id("far"), {0, 2}}}, start);
+    book.set_remote_usage(entry_id("other"),
+                          {{endpoint_id("near"), {1, 1}}, {endpoint_id("far"), {0, 2}}}, start);
     const std::optional<placement> place = book.place_online(model, {}, start, 0.5);
     REQUIRE(place);
     CHECK(place->endpoint == endpoint_id("near"));
-    REQUIRE(place->yields);
-    CHECK(*place->yields == entry_id("other"));
+    REQUIRE(place->yielding_gateway);
+    CHECK(*place->yielding_gateway == entry_id("other"));
     CHECK(!book.place_batch(model, {}, start, 0.5));
 }
 
 TEST_CASE("batch keeps away from the reserve, and endpoints that failed get nothing", "[slots]") {
     slot_table book{zone_id("a")};
     book.set_endpoints({endpoint("one", "a", 8), endpoint("two", "a", 8)});
-    CHECK(book.batch_room(model, start) == 14);
-    const milliseconds pause = book.suspect(endpoint_id("one"), start);
+    CHECK(book.batch_capacity(model, start) == 14);
+    const milliseconds pause = book.record_failure(endpoint_id("one"), start);
     CHECK(pause == milliseconds(250));
-    CHECK(book.batch_room(model, start) == 7);
+    CHECK(book.batch_capacity(model, start) == 7);
     for (int i = 0; i < 20; ++i)
         CHECK(book.place_online(model, {}, start, i / 20.0)->endpoint == endpoint_id("two"));
-    CHECK(book.batch_room(model, start + pause) == 14);
-    CHECK(book.suspect(endpoint_id("one"), start + pause) == milliseconds(500));
+    CHECK(book.batch_capacity(model, start + pause) == 14);
+    CHECK(book.record_failure(endpoint_id("one"), start + pause) == milliseconds(500));
 }
 
 TEST_CASE("what a silent entry had under way is forgotten", "[slots]") {
     slot_table book = two_zones();
-    book.set_others(entry_id("other"),
-                    {{endpoint_id("near"), {2, 0}}, {endpoint_id("far"), {2, 0}}}, start);
+    book.set_remote_usage(entry_id("other"),
+                          {{endpoint_id("near"), {2, 0}}, {endpoint_id("far"), {2, 0}}}, start);
     CHECK(!book.place_online(model, {}, start, 0.5));
-    book.forget_others(start + milliseconds(2000));
+    book.expire_remote_usage(start + milliseconds(2000));
     CHECK(book.place_online(model, {}, start, 0.5));
 }
 
@@ -159,12 +160,12 @@
         for (int i = 0; i < 8; ++i)
             endpoints.push_back(endpoint("e" + std::to_string(i), "a", 8));
         book.set_endpoints(endpoints);
-        book.set_others(entry_id("other"), {{endpoint_id("e0"), {0, 1}}}, start);
+        book.set_remote_usage(entry_id("other"), {{endpoint_id("e0"), {0, 1}}}, start);
         for (int i = 0; i < 5; ++i) {
             const std::optional<placement> place =
                 book.place_online(model, {}, start, draw(random));
             REQUIRE(place);
-            book.take(place->endpoint, work_kind::online);
+            book.acquire(place->endpoint, work_kind::online);
             ++load[place->endpoint];
         }
     }
@@ -189,7 +190,7 @@
     line.remove(exchange_id(2));
     line.remove(exchange_id(3));
     CHECK(*line.next(model, start + milliseconds(320)) == exchange_id(1));
-    CHECK(line.hopeless(start + milliseconds(3001)) == std::vector<exchange_id>{exchange_id(1)});
+    CHECK(line.expired(start + milliseconds(3001)) == std::vector<exchange_id>{exchange_id(1)});
     CHECK(!line.next(service_id("search"), start));
 }
 
@@ -207,7 +208,7 @@
     std::vector<std::uint64_t> served;
     while (const std::optional<exchange_id> next = line.next(model, start)) {
         served.push_back(next->value());
-        line.serve(*next);
+        line.remove_served(*next);
     }
     REQUIRE(served.size() == 53);
     // By priority first, then one of each team in turn, each team's by its targets.
@@ -224,14 +225,14 @@
     for (int id = 1; id <= 20; ++id)
         add(id, "first");
     for (int i = 0; i < 10; ++i)
-        line.serve(*line.next(model, start));
+        line.remove_served(*line.next(model, start));
     for (int id = 31; id <= 40; ++id)
         add(id, "second");
     int of_first = 0;
     for (int i = 0; i < 10; ++i) {
         const exchange_id next = *line.next(model, start);
         of_first += next.value() <= 20 ? 1 : 0;
-        line.serve(next);
+        line.remove_served(next);
     }
     CHECK(of_first == 5);
 }
@@ -243,26 +244,26 @@
 TEST_CASE("an endpoint that failed is tried by one request at a time", "[slots]") {
     slot_table book{zone_id("a")};
     book.set_endpoints({endpoint("dark", "a", 8), endpoint("fine", "a", 2)});
-    const instant later = start + book.suspect(endpoint_id("dark"), start);
+    const instant later = start + book.record_failure(endpoint_id("dark"), start);
     for (int i = 0; i < 20; ++i)
         CHECK(book.place_online(model, {}, later, i / 20.0)->endpoint == endpoint_id("fine"));
     CHECK(book.place_batch(model, {}, later, 0.5)->endpoint == endpoint_id("dark"));
-    book.take(endpoint_id("dark"), work_kind::batch);
+    book.acquire(endpoint_id("dark"), work_kind::batch);
     CHECK(book.place_batch(model, {}, later, 0.5)->endpoint == endpoint_id("fine"));
-    book.trust(endpoint_id("dark"));
-    CHECK(book.batch_room(model, later) == 8);
+    book.record_success(endpoint_id("dark"));
+    CHECK(book.batch_capacity(model, later) == 8);
 }
 
 TEST_CASE("what two others suspect is on trial here too, what one does isn't", "[slots]") {
     slot_table book{zone_id("a")};
     book.set_endpoints({endpoint("dark", "a", 8), endpoint("fine", "a", 1)});
-    const use_map failing{{endpoint_id("dark"), {0, 0, 1}}};
-    book.set_others(entry_id("one"), failing, start);
+    const slot_usage_map failing{{endpoint_id("dark"), {0, 0, 1}}};
+    book.set_remote_usage(entry_id("one"), failing, start);
     int dark = 0;
     for (int i = 0; i < 20; ++i)
         dark += book.place_online(model, {}, start, i / 20.0)->endpoint == endpoint_id("dark");
     CHECK(dark > 10);
-    book.set_others(entry_id("two"), failing, start);
+    book.set_remote_usage(entry_id("two"), failing, start);
     for (int i = 0; i < 20; ++i)
         CHECK(book.place_online(model, {}, start, i / 20.0)->endpoint == endpoint_id("fine"));
 }
@@ -271,17 +272,17 @@
     slot_table book(zone_id("z1"));
     book.set_endpoints({endpoint("e1", "z1", 8)});
     const endpoint_id there("e1");
-    book.take(there, work_kind::batch);
-    book.take(there, work_kind::online);
-    CHECK(!book.holder_in_the_way(there));
+    book.acquire(there, work_kind::batch);
+    book.acquire(there, work_kind::online);
+    CHECK(!book.batch_holder_if_full(there));
     // Others have filled it meanwhile.
-    book.set_others(entry_id("other"), {{there, {6, 0, 0}}}, start);
-    CHECK(book.holder_in_the_way(there) == entry_id());
+    book.set_remote_usage(entry_id("other"), {{there, {6, 0, 0}}}, start);
+    CHECK(book.batch_holder_if_full(there) == entry_id());
     book.release(there, work_kind::batch);
-    book.set_others(entry_id("other"), {{there, {6, 1, 0}}}, start);
-    CHECK(book.holder_in_the_way(there) == entry_id("other"));
-    book.set_others(entry_id("other"), {{there, {7, 0, 0}}}, start);
-    CHECK(!book.holder_in_the_way(there));
+    book.set_remote_usage(entry_id("other"), {{there, {6, 1, 0}}}, start);
+    CHECK(book.batch_holder_if_full(there) == entry_id("other"));
+    book.set_remote_usage(entry_id("other"), {{there, {7, 0, 0}}}, start);
+    CHECK(!book.batch_holder_if_full(there));
 }
 
 // Story: summaries come after their job was due, beside slots that nobody uses. Each wave of online
@@ -290,13 +291,13 @@
     slot_table book{zone_id("a")};
     book.set_endpoints({endpoint("e0", "a", 8), endpoint("e1", "a", 8)});
     for (int i = 0; i < 7; ++i) {
-        book.take(endpoint_id("e0"), work_kind::online);
-        book.take(endpoint_id("e1"), work_kind::batch);
+        book.acquire(endpoint_id("e0"), work_kind::online);
+        book.acquire(endpoint_id("e1"), work_kind::batch);
     }
     CHECK(!book.place_batch(model, {}, start, 0.5));
     CHECK(book.place_batch(model, {}, start, 0.5, true));
-    book.take(endpoint_id("e0"), work_kind::online);
-    book.take(endpoint_id("e1"), work_kind::online);
+    book.acquire(endpoint_id("e0"), work_kind::online);
+    book.acquire(endpoint_id("e1"), work_kind::online);
     CHECK(!book.place_batch(model, {}, start, 0.5, true));
 
     const std::uint64_t at = 100000;
@@ -332,16 +333,16 @@
     for (int i = 0; i < gateways; ++i) {
         slot_table book{zone_id("a")};
         std::vector<slot_endpoint> all;
-        use_map used;
+        slot_usage_map used;
         for (int e = 0; e < endpoints; ++e) {
             all.push_back(endpoint("e" + std::to_string(e), "a", 8));
             used[all.back().id] = {4, 4, 0};
         }
         book.set_endpoints(all);
-        book.set_others(entry_id("zone a"), used, start);
+        book.set_remote_usage(entry_id("zone a"), used, start);
         const std::optional<placement> place = book.place_online(model, {}, start, draw(random));
         REQUIRE(place);
-        CHECK(place->yields == entry_id("zone a"));
+        CHECK(place->yielding_gateway == entry_id("zone a"));
         ++chosen[place->endpoint];
     }
     for (const auto& one : chosen)
--- a/unittests/policy/team_quota_test.cpp
+++ b/unittests/policy/team_quota_test.cpp
@@ -168,29 +168,29 @@
         all.request(i * 7 % 62, team);
     all.advance(milliseconds(5000), [&] { all.load(team, 2, 62); });
     CHECK(all.outcomes.at(team).wrongly_rejected == 0);
-    CHECK(all.outcomes.at(team).excess(quota) <= tolerance.beyond(quota));
+    CHECK(all.outcomes.at(team).excess(quota) <= tolerance.max_excess(quota));
 }
 
 TEST_CASE("a request that never ran gives its token back", "[policy]") {
-    quota_gate gate(entry_id("g0"), 1, {});
+    quota_enforcer gate(entry_id("g0"), 1, {});
     gate.set_gateways({}, instant(std::chrono::seconds(1)));
     gate.set_quotas({{team, quota_of(1, 3)}}, instant(std::chrono::seconds(1)));
     for (int tick = 0; tick < 100; ++tick)
-        gate.due(instant(std::chrono::seconds(1)) + tick * milliseconds(100));
+        gate.poll(instant(std::chrono::seconds(1)) + tick * milliseconds(100));
     const instant now = instant(std::chrono::seconds(11));
     std::vector<quota_decision> taken;
     for (int i = 0; i < 3; ++i)
         taken.push_back(gate.admit(team, now));
     CHECK(taken.back().verdict == quota_verdict::admitted);
-    gate.give_back(taken.back().grant, now);
+    gate.refund(taken.back().grant, now);
     CHECK(gate.admit(team, now).verdict == quota_verdict::admitted);
-    const quota_decision beyond = gate.admit(team, now);
-    CHECK(beyond.verdict == quota_verdict::rejected);
-    CHECK(beyond.retry_after == milliseconds(1000));
+    const quota_decision denied = gate.admit(team, now);
+    CHECK(denied.verdict == quota_verdict::rejected);
+    CHECK(denied.retry_after == milliseconds(1000));
     // The next one is told to come behind it.
     CHECK(gate.admit(team, now).retry_after == milliseconds(2000));
     // One that returns when it was told to is admitted.
-    CHECK(gate.admit(team, now + beyond.retry_after).verdict == quota_verdict::admitted);
+    CHECK(gate.admit(team, now + denied.retry_after).verdict == quota_verdict::admitted);
 }
 
 TEST_CASE("a team without a quota is never asked about", "[policy]") {
--- a/unittests/policy/usage_exchange_test.cpp
+++ b/unittests/policy/usage_exchange_test.cpp
@@ -31,8 +31,8 @@
     struct gateway {
         zone_id zone;
         std::unique_ptr<usage_exchange> exchange;
-        use_map own;
-        std::map<entry_id, use_map> book; ///< as a slot table would keep it
+        slot_usage_map own;
+        std::map<entry_id, slot_usage_map> book; ///< as a slot table would keep it
         std::size_t sent = 0;
         std::size_t zones_sent = 0;
         bool frozen = false;
@@ -79,9 +79,9 @@
         if (message.kind == usage_message::content::own_use) {
             target.book[gateway_name(from)] = message.own;
         } else if (message.kind == usage_message::content::report) {
-            target.exchange->take_report(gateway_name(from), message.own, now);
-        } else if (to == from || target.exchange->take_sums(gateway_name(from), gateways[from].zone,
-                                                            message.zones, now)) {
+            target.exchange->receive_report(gateway_name(from), message.own, now);
+        } else if (to == from || target.exchange->receive_sums(
+                                     gateway_name(from), gateways[from].zone, message.zones, now)) {
             for (const auto& zone : message.zones)
                 target.book[usage_exchange::zone_key(zone.first)] = *zone.second;
         }
@@ -94,7 +94,8 @@
             for (std::size_t i = 0; i < gateways.size(); ++i) {
                 if (gateways[i].frozen)
                     continue;
-                for (const usage_message& message : gateways[i].exchange->due(gateways[i].own, now))
+                for (const usage_message& message :
+                     gateways[i].exchange->poll(gateways[i].own, now))
                     deliver(i, message);
             }
         }
@@ -102,9 +103,9 @@
 
     /// Online requests at an endpoint that a gateway believes the others to have under way.
     std::uint32_t others_seen(std::size_t i, const endpoint_id& endpoint) const {
-        use_map sum;
+        slot_usage_map sum;
         for (const auto& one : gateways[i].book)
-            add_uses(sum, one.second);
+            add_usage(sum, one.second);
         auto found = sum.find(endpoint);
         return found == sum.end() ? 0 : found->second.online;
     }
@@ -273,7 +274,8 @@
     usage_exchange& relay = *all.gateways[all.relay_of(0)].exchange;
     std::set<entry_id> asked;
     for (int i = 0; i < 3; ++i) {
-        const std::optional<yield_target> target = relay.choose_yielding(endpoint_name(0), false);
+        const std::optional<yield_target> target =
+            relay.choose_yield_target(endpoint_name(0), false);
         REQUIRE(target);
         CHECK(target->holds_item);
         asked.insert(target->gateway);
@@ -287,9 +289,9 @@
     all.gateways[3].own[endpoint_name(0)] = {0, 1, 0};
     all.advance(milliseconds(1500));
     usage_exchange& relay = *all.gateways[all.relay_of(0)].exchange;
-    const std::optional<yield_target> target = relay.choose_yielding(endpoint_name(0), false);
+    const std::optional<yield_target> target = relay.choose_yield_target(endpoint_name(0), false);
     REQUIRE(target);
     CHECK_FALSE(target->holds_item);
     CHECK(all.by_name.at(target->gateway) == all.relay_of(1));
-    CHECK_FALSE(relay.choose_yielding(endpoint_name(0), true));
+    CHECK_FALSE(relay.choose_yield_target(endpoint_name(0), true));
 }
