--- a/include/cassia/entry/batch_task.h
+++ b/include/cassia/entry/batch_task.h
@@ -96,7 +96,7 @@
     // Running items (batch_items.cpp).
     void place_items();
     bool may_start(const item& one, instant now) const;
-    void start_item(const item_id& id, const policy::endpoint_facts& facts);
+    void start_item(const item_id& id, const policy::endpoint_info& facts);
     std::string upstream_body(const item& one) const;
     void shrink(seat& at, std::uint32_t to, const char* reason);
     void stop_run(item& one);
--- a/include/cassia/entry/control_task.h
+++ b/include/cassia/entry/control_task.h
@@ -77,7 +77,7 @@
     void send_hellos();
     void send_gossip();
     void publish_view();
-    std::vector<policy::endpoint_facts> endpoint_facts(instant now) const;
+    std::vector<policy::endpoint_info> endpoint_info(instant now) const;
     void tick();
     std::string dump_text() const;
 
--- a/include/cassia/entry/fleet_view.h
+++ b/include/cassia/entry/fleet_view.h
@@ -23,8 +23,8 @@
 };
 
 struct fleet_view {
-    std::vector<policy::endpoint_facts> endpoints; ///< those that may get new work
-    std::vector<listed_entry> entries;             ///< those that take new requests
+    std::vector<policy::endpoint_info> endpoints; ///< those that may get new work
+    std::vector<listed_entry> entries;            ///< those that take new requests
     std::uint64_t entries_version = 0;
     std::shared_ptr<const settings::catalog> catalog; ///< null before the first configuration
     bool stale = true;
@@ -35,7 +35,7 @@
 };
 
 /// The endpoint among those that may get new work, or null.
-const policy::endpoint_facts* find_endpoint(const fleet_view& view, const endpoint_id& id);
+const policy::endpoint_info* find_endpoint(const fleet_view& view, const endpoint_id& id);
 
 using view_pointer = std::shared_ptr<const fleet_view>;
 
--- a/include/cassia/entry/online_calls.h
+++ b/include/cassia/entry/online_calls.h
@@ -143,7 +143,7 @@
     policy::retry_budget retries_;
     crash_blame blame_;
     std::map<team_id, policy::rate_limiter> rates_;
-    std::map<endpoint_id, policy::batch_slots> slots_;
+    std::map<endpoint_id, policy::batch_slot_controller> slots_;
     std::map<endpoint_id, endpoint_use> batch_uses_;
     std::map<exchange_id, call> calls_;
     double ends_per_second_ = 0;
--- a/include/cassia/keeper/work_leader.h
+++ b/include/cassia/keeper/work_leader.h
@@ -73,7 +73,7 @@
     const state::work_state& state_;
     milliseconds holder_timeout_;
     work_leader_hooks hooks_;
-    policy::batch_schedule schedule_;
+    policy::batch_scheduler schedule_;
 
     bool leads_ = false;
     instant led_since_{};
--- a/include/cassia/policy/admission.h
+++ b/include/cassia/policy/admission.h
@@ -21,7 +21,7 @@
     void configure(double rate, double burst);
     /// \returns zero if the request may pass, else how long until one may.
     milliseconds admit(instant now);
-    void set_others_rate(double requests_per_second) { others_rate_ = requests_per_second; }
+    void set_remote_rate(double requests_per_second) { others_rate_ = requests_per_second; }
     /// Requests a second that passed here lately.
     double own_rate(instant now) const;
 
@@ -35,7 +35,7 @@
     instant passed_at_{};
 };
 
-struct waiting_request {
+struct queued_call {
     exchange_id exchange;
     team_id team;
     double weight = 1;
@@ -50,7 +50,7 @@
 
     /// \returns false if the room is full for this team: its share of a full room is in
     /// proportion to its weight.
-    bool add(const waiting_request& request);
+    bool add(const queued_call& request);
     void remove(exchange_id exchange);
     /// Requests whose deadline has come; they are taken out.
     std::vector<exchange_id> expired(instant now);
@@ -64,7 +64,7 @@
 
 private:
     struct line {
-        std::deque<waiting_request> requests;
+        std::deque<queued_call> requests;
         double clock = 0;
         double weight = 1;
     };
@@ -82,7 +82,7 @@
     /// \param reserve retries allowed however few requests there are.
     retry_budget(double ratio, double reserve) : ratio_(ratio), reserve_(reserve), left_(reserve) {}
 
-    void request_started();
+    void record_request();
     bool take();
 
 private:
--- a/include/cassia/policy/batch_scheduler.h
+++ b/include/cassia/policy/batch_scheduler.h
@@ -33,7 +33,7 @@
 
 /// Weighted fair queueing by virtual time: each leased item moves its team's clock on by
 /// 1/weight, and the team whose clock is furthest back goes next.
-class batch_schedule {
+class batch_scheduler {
 public:
     void set_weight(const team_id& team, double weight);
 
--- a/include/cassia/policy/endpoint.h
+++ b/include/cassia/policy/endpoint.h
@@ -17,7 +17,7 @@
 };
 
 /// An endpoint as membership knows it.
-struct endpoint_facts {
+struct endpoint_info {
     endpoint_id id;
     std::uint64_t incarnation = 0;
     http_address address;
@@ -28,9 +28,9 @@
     std::uint32_t max_running = 0;
     std::uint32_t reported_running = 0;
     std::uint32_t reported_waiting = 0;
-    std::uint32_t others_online = 0;   ///< online calls of other entries under way
-    std::uint32_t others_batch = 0;    ///< batch items of other entries under way
-    std::uint32_t others_suspects = 0; ///< calls under way that may have crashed an endpoint
+    std::uint32_t remote_online = 0;   ///< online calls of other entries under way
+    std::uint32_t remote_batch = 0;    ///< batch items of other entries under way
+    std::uint32_t remote_suspects = 0; ///< calls under way that may have crashed an endpoint
     entry_id steward;                  ///< the one entry that sends batch items to it
 };
 
@@ -41,6 +41,6 @@
     std::string adapter; ///< empty: none
 };
 
-bool serves(const endpoint_facts& endpoint, const service_demand& demand);
+bool serves(const endpoint_info& endpoint, const service_demand& demand);
 
 } // namespace cassia::policy
--- a/include/cassia/policy/router.h
+++ b/include/cassia/policy/router.h
@@ -14,20 +14,20 @@
 
 struct router_settings {
     zone_id own_zone;
-    entry_id own_name;
+    entry_id self;
     /// Consecutive failures after which an endpoint is left out for a while.
-    std::uint32_t ejection_failures = 3;
-    milliseconds ejection{2000};
-    milliseconds longest_ejection{30000};
+    std::uint32_t consecutive_failures = 3;
+    milliseconds base_ejection{2000};
+    milliseconds max_ejection{30000};
     /// Most prompt prefixes remembered for each endpoint.
-    std::size_t remembered_prefixes = 512;
+    std::size_t max_prefixes = 512;
 };
 
 struct pick_request {
     service_demand demand;
-    std::uint64_t prefix = 0;    ///< hash of the prompt's start, 0 for none
-    bool suspect = false;        ///< may have crashed an endpoint: only beside no other suspect
-    std::set<endpoint_id> avoid; ///< endpoints that failed this request before
+    std::uint64_t prefix = 0;       ///< hash of the prompt's start, 0 for none
+    bool suspect = false;           ///< may have crashed an endpoint: only beside no other suspect
+    std::set<endpoint_id> excluded; ///< endpoints that failed this request before
 };
 
 /// Why an endpoint was picked, for the explanation.
@@ -39,7 +39,7 @@
     pick_reason reason = pick_reason::least_cost;
     microseconds expected_first_token{};
     /// Batch items to stop so that this call finds a free slot at once.
-    std::uint32_t yield = 0;
+    std::uint32_t items_to_yield = 0;
 };
 
 enum class call_result { finished, failed, cancelled };
@@ -49,18 +49,18 @@
     router(router_settings settings, std::uint64_t seed);
 
     /// Takes over what membership knows now; calls under way keep their counts.
-    void set_endpoints(const std::vector<endpoint_facts>& endpoints);
+    void set_endpoints(const std::vector<endpoint_info>& endpoints);
 
     /// Whether any endpoint could ever serve it as things are.
     bool can_serve(const service_demand& demand) const;
     /// The endpoint to send the request to, or nothing while all are full.
     std::optional<pick> choose(const pick_request& request, instant now);
 
-    void started(const endpoint_id& endpoint, std::uint64_t prefix, bool suspect);
+    void record_start(const endpoint_id& endpoint, std::uint64_t prefix, bool suspect);
     /// A suspect got through what crashed an endpoint before: another may run beside it.
     void release_suspect(const endpoint_id& endpoint);
-    void first_token(const endpoint_id& endpoint, microseconds after, instant now);
-    void ended(const endpoint_id& endpoint, bool suspect, call_result result, instant now);
+    void record_first_token(const endpoint_id& endpoint, microseconds after, instant now);
+    void record_end(const endpoint_id& endpoint, bool suspect, call_result result, instant now);
     /// Batch items of this entry under way at an endpoint, and how many of them are suspects.
     void set_own_batch(const endpoint_id& endpoint, std::uint32_t items, std::uint32_t suspects);
     /// The endpoint refused a connection or died: left out at once.
@@ -74,7 +74,7 @@
 
 private:
     struct tracked {
-        endpoint_facts facts;
+        endpoint_info facts;
         std::uint32_t own_online = 0;
         std::uint32_t own_batch = 0;
         std::uint32_t own_batch_suspects = 0;
--- a/include/cassia/policy/strikes.h
+++ b/include/cassia/policy/strikes.h
@@ -23,16 +23,16 @@
 };
 
 /// Whom a death is blamed on.
-struct death_blame {
-    std::vector<fingerprint> certain; ///< struck at once
+struct crash_attribution {
+    std::vector<fingerprint> immediate; ///< struck at once
     /// Struck after blame_delay, unless another entry has blamed the same death by then.
-    std::vector<fingerprint> likely;
+    std::vector<fingerprint> deferred;
 };
 
-inline constexpr milliseconds blame_delay(500);
+inline constexpr milliseconds attribution_delay(500);
 
 /// How long a strike counts.
-inline constexpr milliseconds strike_memory(600000);
+inline constexpr milliseconds strike_retention(600000);
 
 class strike_list {
 public:
@@ -40,15 +40,16 @@
 
     /// \returns whether the strike was new.
     bool add(const strike& one);
-    death_blame blame(const std::vector<running_request>& running, instant now) const;
+    crash_attribution attribute_crash(const std::vector<running_request>& running,
+                                      instant now) const;
     /// Whether anybody has blamed a death of the endpoint at or after this time.
-    bool knows_death(const endpoint_id& endpoint, instant since) const;
+    bool has_strike_since(const endpoint_id& endpoint, instant since) const;
 
     bool is_suspect(const fingerprint& request, instant now) const;
     bool is_quarantined(const fingerprint& request, instant now) const;
     /// Strikes that are still remembered, for spreading.
-    std::vector<strike> all(instant now) const;
-    void forget_old(instant now);
+    std::vector<strike> active(instant now) const;
+    void remove_expired(instant now);
 
 private:
     std::size_t count(const fingerprint& request, instant now) const;
--- a/include/cassia/teams/error.h
+++ b/include/cassia/teams/error.h
@@ -19,7 +19,7 @@
 struct error {
     errc code;
     std::string text;
-    std::size_t place = 0; ///< of the team in the list
+    std::size_t index = 0; ///< of the team in the list
 };
 
 template <class T>
--- a/include/cassia/teams/team_table.h
+++ b/include/cassia/teams/team_table.h
@@ -47,15 +47,15 @@
 
 key_digest digest_of(std::string_view key);
 /// Enough of a digest to tell keys apart in a log.
-std::string short_form(const key_digest& digest);
+std::string digest_prefix(const key_digest& digest);
 
 class team_table {
 public:
     team_table() = default;
     /// Every fault of a list of teams.
-    static std::vector<error> check(const std::vector<team>& teams);
+    static std::vector<error> validate(const std::vector<team>& teams);
     /// Refuses a list with a fault.
-    static result<team_table> make(std::vector<team> teams);
+    static result<team_table> create(std::vector<team> teams);
 
     /// Null for an unknown key. Its duration tells nothing about known keys.
     const team* find_by_key(std::string_view key) const;
--- a/lib/entry/batch_items.cpp
+++ b/lib/entry/batch_items.cpp
@@ -51,7 +51,7 @@
 
 void batch_task::place_items() {
     const instant now = monotonic_now();
-    for (const policy::endpoint_facts& facts : view_->endpoints) {
+    for (const policy::endpoint_info& facts : view_->endpoints) {
         auto found = seats_.find(facts.id);
         if (found == seats_.end() || now < found->second.paused_until)
             continue;
@@ -100,7 +100,7 @@
     return boost::json::serialize(body);
 }
 
-void batch_task::start_item(const item_id& id, const policy::endpoint_facts& facts) {
+void batch_task::start_item(const item_id& id, const policy::endpoint_info& facts) {
     item& one = items_.at(id);
     const schema::item_body& body = one.lease.item();
     one.running = true;
@@ -229,7 +229,7 @@
         decide_after_failure(id, failed, false);
         return;
     }
-    const policy::endpoint_facts* facts = find_endpoint(*view_, items_.at(id).endpoint);
+    const policy::endpoint_info* facts = find_endpoint(*view_, items_.at(id).endpoint);
     if (facts == nullptr) {
         decide_after_failure(id, failed, true);
         return;
--- a/lib/entry/batch_leases.cpp
+++ b/lib/entry/batch_leases.cpp
@@ -32,7 +32,7 @@
     const instant now = monotonic_now();
     if (draining_ || view_->stale || items_.size() >= settings_.batch_window())
         return wanted;
-    for (const policy::endpoint_facts& facts : view_->endpoints) {
+    for (const policy::endpoint_info& facts : view_->endpoints) {
         auto at = seats_.find(facts.id);
         const bool free =
             at != seats_.end() && at->second.offer.slots > 0 && now >= at->second.paused_until;
--- a/lib/entry/control_task.cpp
+++ b/lib/entry/control_task.cpp
@@ -30,7 +30,7 @@
           keeper_addresses(settings),
           [this](const peer_address& to, schema::envelope& message) { hub_->send(to, message); }),
       directory_(membership::directory_settings()), entries_(others_silent_after),
-      freshness_(milliseconds(settings.stale_after_ms())), strikes_(policy::strike_memory) {}
+      freshness_(milliseconds(settings.stale_after_ms())), strikes_(policy::strike_retention) {}
 
 control_task::~control_task() {
     task_.stop();
@@ -280,7 +280,7 @@
     *rumor->mutable_self() = make_hello();
     for (schema::endpoint_record& record : directory_.own_records(now))
         *rumor->add_endpoints() = std::move(record);
-    for (const policy::strike& one : strikes_.all(now)) {
+    for (const policy::strike& one : strikes_.active(now)) {
         schema::strike_record* told = rumor->add_strikes();
         told->set_fingerprint(one.request.str());
         told->set_endpoint(one.endpoint.str());
@@ -320,7 +320,7 @@
     keepers_.tick(now);
     directory_.forget_old(now);
     entries_.forget_old(now);
-    strikes_.forget_old(now);
+    strikes_.remove_expired(now);
 }
 
 } // namespace cassia::entry
--- a/lib/entry/control_view.cpp
+++ b/lib/entry/control_view.cpp
@@ -9,7 +9,7 @@
 
 namespace cassia::entry {
 
-std::vector<policy::endpoint_facts> control_task::endpoint_facts(instant now) const {
+std::vector<policy::endpoint_info> control_task::endpoint_info(instant now) const {
     const std::vector<const schema::entry_hello*> alive = entries_.alive(now);
     std::map<std::string, endpoint_use> uses;
     for (const std::pair<const entry_id, other_entry>& other : others_) {
@@ -22,10 +22,10 @@
             sum.suspects += one.suspects();
         }
     }
-    std::vector<policy::endpoint_facts> out;
+    std::vector<policy::endpoint_info> out;
     for (const membership::endpoint_entry* one : directory_.serving(now)) {
         const schema::endpoint_record& record = one->record;
-        policy::endpoint_facts facts;
+        policy::endpoint_info facts;
         facts.id = endpoint_id(record.id());
         facts.incarnation = record.incarnation();
         facts.address = http_address(record.address());
@@ -42,9 +42,9 @@
         }
         auto used = uses.find(record.id());
         if (used != uses.end()) {
-            facts.others_online = used->second.online;
-            facts.others_batch = used->second.batch;
-            facts.others_suspects = used->second.suspects;
+            facts.remote_online = used->second.online;
+            facts.remote_batch = used->second.batch;
+            facts.remote_suspects = used->second.suspects;
         }
         facts.steward = membership::steward_of(facts.id, record.zone(), alive);
         out.push_back(std::move(facts));
@@ -55,14 +55,14 @@
 void control_task::publish_view() {
     const instant now = monotonic_now();
     std::shared_ptr<fleet_view> view = std::make_shared<fleet_view>();
-    view->endpoints = endpoint_facts(now);
+    view->endpoints = endpoint_info(now);
     view->entries_version = entries_.version(now);
     for (const schema::entry_hello* one : entries_.open(now))
         view->entries.push_back(
             {entry_id(one->entry()), one->http_address(), zone_id(one->zone())});
     view->catalog = catalog_;
     view->stale = freshness_.is_stale(now);
-    view->strikes = strikes_.all(now);
+    view->strikes = strikes_.active(now);
     view->leader_contacts = leader_contacts_;
     view->keeper_clocks = keeper_clocks_;
     for (const std::pair<const entry_id, other_entry>& other : others_) {
@@ -108,7 +108,7 @@
                            {"stale", one->stale()}});
     out["entries"] = std::move(entries);
     boost::json::array strikes;
-    for (const policy::strike& one : strikes_.all(now))
+    for (const policy::strike& one : strikes_.active(now))
         strikes.push_back({{"fingerprint", one.request.str()}, {"endpoint", one.endpoint.str()}});
     out["strikes"] = std::move(strikes);
     return boost::json::serialize(out);
--- a/lib/entry/crash_blame.cpp
+++ b/lib/entry/crash_blame.cpp
@@ -16,7 +16,7 @@
 crash_blame::crash_blame(net::task& task, net::http_client& client, control_task& control,
                          std::function<void(const policy::strike&)> on_strike)
     : task_(task), client_(client), control_(control), on_strike_(std::move(on_strike)),
-      strikes_(policy::strike_memory) {}
+      strikes_(policy::strike_retention) {}
 
 void crash_blame::probe(const http_address& address, std::function<void(bool dead)> done) {
     probe_again(address, std::move(done), most_probes);
@@ -54,12 +54,12 @@
     if (known != deaths_.end() && now - known->second < one_death)
         return false;
     deaths_[endpoint] = now;
-    const policy::death_blame blame = strikes_.blame(running, now);
-    strike(blame.certain, endpoint, now);
-    if (blame.likely.empty())
+    const policy::crash_attribution blame = strikes_.attribute_crash(running, now);
+    strike(blame.immediate, endpoint, now);
+    if (blame.deferred.empty())
         return true;
-    task_.after(policy::blame_delay, [this, likely = blame.likely, endpoint, now] {
-        if (!strikes_.knows_death(endpoint, now - policy::blame_delay))
+    task_.after(policy::attribution_delay, [this, likely = blame.deferred, endpoint, now] {
+        if (!strikes_.has_strike_since(endpoint, now - policy::attribution_delay))
             strike(likely, endpoint, now);
     });
     return true;
@@ -79,7 +79,7 @@
 void crash_blame::learn(const std::vector<policy::strike>& strikes) {
     for (const policy::strike& one : strikes)
         strikes_.add(one);
-    strikes_.forget_old(monotonic_now());
+    strikes_.remove_expired(monotonic_now());
 }
 
 bool crash_blame::is_suspect(const fingerprint& request) const {
--- a/lib/entry/online_answers.cpp
+++ b/lib/entry/online_answers.cpp
@@ -22,10 +22,10 @@
         return;
     const instant now = monotonic_now();
     const microseconds after = now - one.sent_at;
-    router_.first_token(one.endpoint, after, now);
+    router_.record_first_token(one.endpoint, after, now);
     auto slots = slots_.find(one.endpoint);
     if (slots != slots_.end())
-        slots->second.first_token(after, one.beside_batch);
+        slots->second.record_first_token(after, one.beside_batch);
     context_.counters.observe("first_token", now - one.arrived);
 }
 
@@ -130,23 +130,23 @@
     batch_offers offers;
     const instant now = monotonic_now();
     const double slowdown = tolerated_slowdown(context_.view->catalog.get());
-    for (const policy::endpoint_facts& facts : context_.view->endpoints) {
+    for (const policy::endpoint_info& facts : context_.view->endpoints) {
         if (facts.steward.str() != context_.settings.name())
             continue;
-        policy::batch_slots_settings wanted;
-        wanted.least_reserve = context_.settings.online_reserve();
-        auto slots = slots_.emplace(facts.id, policy::batch_slots(wanted)).first;
+        policy::batch_slot_settings wanted;
+        wanted.min_reserve = context_.settings.online_reserve();
+        auto slots = slots_.emplace(facts.id, policy::batch_slot_controller(wanted)).first;
         slots->second.set_tolerated_slowdown(slowdown);
         batch_offer& offer = offers[facts.id];
-        offer.slots = slots->second.allowed(facts.max_running, router_.online(facts.id), now);
-        offer.suspect_running = router_.own_suspects(facts.id) + facts.others_suspects > 0;
+        offer.slots = slots->second.allowed_slots(facts.max_running, router_.online(facts.id), now);
+        offer.suspect_running = router_.own_suspects(facts.id) + facts.remote_suspects > 0;
     }
     on_batch_offers_(std::move(offers));
 }
 
 void online_calls::report_uses() {
     std::vector<endpoint_use> uses;
-    for (const policy::endpoint_facts& facts : context_.view->endpoints) {
+    for (const policy::endpoint_info& facts : context_.view->endpoints) {
         endpoint_use use;
         use.endpoint = facts.id;
         use.online = router_.own_online(facts.id);
@@ -175,7 +175,7 @@
         ejected.push_back(boost::json::string(one.str()));
     out["ejected"] = std::move(ejected);
     boost::json::array endpoints;
-    for (const policy::endpoint_facts& facts : context_.view->endpoints) {
+    for (const policy::endpoint_info& facts : context_.view->endpoints) {
         boost::json::object one;
         one["id"] = facts.id.str();
         one["own_online"] = router_.own_online(facts.id);
--- a/lib/entry/online_arrival.cpp
+++ b/lib/entry/online_arrival.cpp
@@ -178,7 +178,7 @@
         return;
     }
     context_.counters.count("online_calls");
-    retries_.request_started();
+    retries_.record_request();
     const exchange_id exchange = one.exchange;
     call& kept = calls_.emplace(exchange, std::move(one)).first->second;
     if (kept.key.empty())
--- a/lib/entry/online_calls.cpp
+++ b/lib/entry/online_calls.cpp
@@ -119,7 +119,7 @@
         }
         one->second.configure(plan->rate.per_second, plan->burst.value);
         auto others = context_.view->others_rates.find(one->first);
-        one->second.set_others_rate(others == context_.view->others_rates.end() ? 0
+        one->second.set_remote_rate(others == context_.view->others_rates.end() ? 0
                                                                                 : others->second);
         ++one;
     }
--- a/lib/entry/online_dispatch.cpp
+++ b/lib/entry/online_dispatch.cpp
@@ -50,7 +50,7 @@
     wanted.demand = one.demand;
     wanted.prefix = one.prefix;
     wanted.suspect = blame_.is_suspect(one.print);
-    wanted.avoid = one.failed_at;
+    wanted.excluded = one.failed_at;
     const std::optional<policy::pick> chosen = router_.choose(wanted, now);
     if (!chosen)
         return false;
@@ -67,7 +67,7 @@
 
 void online_calls::dispatch(call& one, const policy::pick& chosen) {
     const instant now = monotonic_now();
-    const policy::endpoint_facts* facts = find_endpoint(*context_.view, chosen.endpoint);
+    const policy::endpoint_info* facts = find_endpoint(*context_.view, chosen.endpoint);
     assert(facts != nullptr && "the router picks among the view's endpoints");
     net::http_call out;
     out.method = one.request.method;
@@ -103,11 +103,11 @@
     one.events = event_splitter();
     auto batch = batch_uses_.find(chosen.endpoint);
     one.beside_batch =
-        facts->others_batch > 0 || (batch != batch_uses_.end() && batch->second.batch > 0);
-    router_.started(chosen.endpoint, one.prefix, one.suspect);
-    if (chosen.yield > 0) {
-        context_.control.request_yield(chosen.endpoint, chosen.yield);
-        context_.counters.count("yields_asked", chosen.yield);
+        facts->remote_batch > 0 || (batch != batch_uses_.end() && batch->second.batch > 0);
+    router_.record_start(chosen.endpoint, one.prefix, one.suspect);
+    if (chosen.items_to_yield > 0) {
+        context_.control.request_yield(chosen.endpoint, chosen.items_to_yield);
+        context_.counters.count("yields_asked", chosen.items_to_yield);
         context_.decisions.add(decision_kind::yielded, chosen.endpoint.str(), one.request_id,
                                "online call needs a slot");
     }
@@ -183,7 +183,7 @@
 
 void online_calls::end_attempt(call& one, policy::call_result result) {
     one.running = false;
-    router_.ended(one.endpoint, one.suspect, result, monotonic_now());
+    router_.record_end(one.endpoint, one.suspect, result, monotonic_now());
     ++ends_;
 }
 
@@ -208,7 +208,7 @@
     call& one = *find(exchange);
     one.ever_sent = one.ever_sent || failed.sent;
     context_.counters.count("attempts_failed");
-    const policy::endpoint_facts* facts = find_endpoint(*context_.view, one.endpoint);
+    const policy::endpoint_info* facts = find_endpoint(*context_.view, one.endpoint);
     const bool may_be_dead = failed.cause.code == net::errc::connection_lost && failed.sent;
     if (may_be_dead && facts == nullptr) {
         decide_after_failure(exchange, failed, true);
--- a/lib/gateway/caller_identity.cpp
+++ b/lib/gateway/caller_identity.cpp
@@ -31,7 +31,7 @@
 
 std::string key_label(const net::http_fields& fields, const field_names& names) {
     const std::string_view key = only_key(fields, names);
-    return key.empty() ? "" : teams::short_form(teams::digest_of(key));
+    return key.empty() ? "" : teams::digest_prefix(teams::digest_of(key));
 }
 
 } // namespace cassia::gateway
--- a/lib/policy/admission.cpp
+++ b/lib/policy/admission.cpp
@@ -43,7 +43,7 @@
     return passed_ * std::exp(-seconds_between(passed_at_, now) / rate_memory_s) / rate_memory_s;
 }
 
-bool fair_queue::add(const waiting_request& request) {
+bool fair_queue::add(const queued_call& request) {
     double weights = request.weight;
     for (const std::pair<const team_id, line>& one : lines_) {
         if (one.first != request.team)
@@ -66,10 +66,11 @@
 
 void fair_queue::remove(exchange_id exchange) {
     for (auto one = lines_.begin(); one != lines_.end(); ++one) {
-        std::deque<waiting_request>& requests = one->second.requests;
-        auto found = std::find_if(
-            requests.begin(), requests.end(),
-            [exchange](const waiting_request& request) { return request.exchange == exchange; });
+        std::deque<queued_call>& requests = one->second.requests;
+        auto found =
+            std::find_if(requests.begin(), requests.end(), [exchange](const queued_call& request) {
+                return request.exchange == exchange;
+            });
         if (found == requests.end())
             continue;
         requests.erase(found);
@@ -83,7 +84,7 @@
 std::vector<exchange_id> fair_queue::expired(instant now) {
     std::vector<exchange_id> late;
     for (const std::pair<const team_id, line>& one : lines_) {
-        for (const waiting_request& request : one.second.requests) {
+        for (const queued_call& request : one.second.requests) {
             if (request.deadline <= now)
                 late.push_back(request.exchange);
         }
@@ -122,7 +123,7 @@
     }
 }
 
-void retry_budget::request_started() {
+void retry_budget::record_request() {
     left_ = std::min(reserve_, left_ + ratio_);
 }
 
--- a/lib/policy/batch_scheduler.cpp
+++ b/lib/policy/batch_scheduler.cpp
@@ -14,11 +14,11 @@
 constexpr std::uint64_t urgent_part = 2;
 } // namespace
 
-void batch_schedule::set_weight(const team_id& team, double weight) {
+void batch_scheduler::set_weight(const team_id& team, double weight) {
     weights_[team] = weight;
 }
 
-double batch_schedule::weight_of(const team_id& team) const {
+double batch_scheduler::weight_of(const team_id& team) const {
     auto found = weights_.find(team);
     return found == weights_.end() ? 1.0 : found->second;
 }
@@ -44,8 +44,8 @@
                            b.deadline == 0 ? never : b.deadline, b.created, b.job);
 }
 
-std::vector<lease_choice> batch_schedule::choose(std::vector<job_candidate> candidates,
-                                                 std::uint32_t limit, std::uint64_t at) {
+std::vector<lease_choice> batch_scheduler::choose(std::vector<job_candidate> candidates,
+                                                  std::uint32_t limit, std::uint64_t at) {
     std::sort(
         candidates.begin(), candidates.end(),
         [at](const job_candidate& a, const job_candidate& b) { return is_more_urgent(a, b, at); });
--- a/lib/policy/endpoint.cpp
+++ b/lib/policy/endpoint.cpp
@@ -2,7 +2,7 @@
 
 namespace cassia::policy {
 
-bool serves(const endpoint_facts& endpoint, const service_demand& demand) {
+bool serves(const endpoint_info& endpoint, const service_demand& demand) {
     if (!endpoint.engine)
         return endpoint.service == demand.service;
     auto model = endpoint.models.find(demand.service);
--- a/lib/policy/router.cpp
+++ b/lib/policy/router.cpp
@@ -33,9 +33,9 @@
 router::router(router_settings settings, std::uint64_t seed)
     : settings_(std::move(settings)), random_(seed) {}
 
-void router::set_endpoints(const std::vector<endpoint_facts>& endpoints) {
+void router::set_endpoints(const std::vector<endpoint_info>& endpoints) {
     std::map<endpoint_id, tracked> next;
-    for (const endpoint_facts& facts : endpoints) {
+    for (const endpoint_info& facts : endpoints) {
         tracked one;
         auto known = endpoints_.find(facts.id);
         const bool same =
@@ -67,17 +67,17 @@
 }
 
 std::uint32_t router::running(const tracked& one) const {
-    return one.own_online + one.own_batch + one.facts.others_online + one.facts.others_batch;
+    return one.own_online + one.own_batch + one.facts.remote_online + one.facts.remote_batch;
 }
 
 // Slots that batch items hold count as free: batch gives them back as soon as it is told.
 std::uint32_t router::free_for_online(const tracked& one) const {
-    const std::uint32_t online = one.own_online + one.facts.others_online;
+    const std::uint32_t online = one.own_online + one.facts.remote_online;
     return online >= one.facts.max_running ? 0 : one.facts.max_running - online;
 }
 
 bool router::is_open(const tracked& one, const pick_request& request, instant now) const {
-    if (!serves(one.facts, request.demand) || request.avoid.count(one.facts.id) > 0)
+    if (!serves(one.facts, request.demand) || request.excluded.count(one.facts.id) > 0)
         return false;
     if (one.ejected_until > now || free_for_online(one) == 0)
         return false;
@@ -88,13 +88,13 @@
 // its own only where it is the steward. An entry that is nobody's steward has to go by what it
 // heard.
 bool router::takes_suspect(const tracked& one, const service_demand& demand) const {
-    if (one.own_suspects + one.own_batch_suspects + one.facts.others_suspects > 0)
+    if (one.own_suspects + one.own_batch_suspects + one.facts.remote_suspects > 0)
         return false;
-    if (one.facts.steward == settings_.own_name)
+    if (one.facts.steward == settings_.self)
         return true;
     return std::none_of(endpoints_.begin(), endpoints_.end(),
                         [this, &demand](const std::pair<const endpoint_id, tracked>& other) {
-                            return other.second.facts.steward == settings_.own_name &&
+                            return other.second.facts.steward == settings_.self &&
                                    serves(other.second.facts, demand);
                         });
 }
@@ -137,7 +137,7 @@
     else if (one.prefixes.count(request.prefix) > 0)
         made.reason = pick_reason::prefix;
     const std::uint32_t after = running(one) + 1;
-    made.yield = after > one.facts.max_running ? after - one.facts.max_running : 0;
+    made.items_to_yield = after > one.facts.max_running ? after - one.facts.max_running : 0;
     return made;
 }
 
@@ -158,7 +158,7 @@
     return std::nullopt;
 }
 
-void router::started(const endpoint_id& endpoint, std::uint64_t prefix, bool suspect) {
+void router::record_start(const endpoint_id& endpoint, std::uint64_t prefix, bool suspect) {
     auto found = endpoints_.find(endpoint);
     if (found == endpoints_.end())
         return;
@@ -168,7 +168,7 @@
     if (prefix == 0)
         return;
     one.prefixes[prefix] = ++one.prefix_uses;
-    if (one.prefixes.size() <= settings_.remembered_prefixes)
+    if (one.prefixes.size() <= settings_.max_prefixes)
         return;
     auto oldest =
         std::min_element(one.prefixes.begin(), one.prefixes.end(),
@@ -182,7 +182,7 @@
         --found->second.own_suspects;
 }
 
-void router::first_token(const endpoint_id& endpoint, microseconds after, instant now) {
+void router::record_first_token(const endpoint_id& endpoint, microseconds after, instant now) {
     auto found = endpoints_.find(endpoint);
     if (found == endpoints_.end())
         return;
@@ -197,7 +197,8 @@
     one.measured_at = now;
 }
 
-void router::ended(const endpoint_id& endpoint, bool suspect, call_result result, instant now) {
+void router::record_end(const endpoint_id& endpoint, bool suspect, call_result result,
+                        instant now) {
     auto found = endpoints_.find(endpoint);
     if (found == endpoints_.end())
         return;
@@ -213,7 +214,7 @@
         one.ejections = 0;
         return;
     }
-    if (++one.failures >= settings_.ejection_failures)
+    if (++one.failures >= settings_.consecutive_failures)
         eject(endpoint, now);
 }
 
@@ -234,10 +235,10 @@
     }
     if (alike > 1 && (out + 1) * 2 > alike + 1)
         return;
-    milliseconds pause = settings_.ejection;
-    for (std::uint32_t i = 0; i < one.ejections && pause < settings_.longest_ejection; ++i)
+    milliseconds pause = settings_.base_ejection;
+    for (std::uint32_t i = 0; i < one.ejections && pause < settings_.max_ejection; ++i)
         pause *= 2;
-    one.ejected_until = now + std::min(pause, settings_.longest_ejection);
+    one.ejected_until = now + std::min(pause, settings_.max_ejection);
     ++one.ejections;
     one.failures = 0;
 }
@@ -263,7 +264,7 @@
 std::uint32_t router::online(const endpoint_id& endpoint) const {
     auto found = endpoints_.find(endpoint);
     return found == endpoints_.end() ? 0
-                                     : found->second.own_online + found->second.facts.others_online;
+                                     : found->second.own_online + found->second.facts.remote_online;
 }
 
 std::vector<endpoint_id> router::ejected(instant now) const {
--- a/lib/policy/strikes.cpp
+++ b/lib/policy/strikes.cpp
@@ -36,33 +36,34 @@
 // answer; among these to the suspect, if there is just one. Without this the innocent requests
 // beside a poisonous one collect as many strikes as it does, and are quarantined with it. An entry
 // that has none of these waits for the word of the one that has.
-death_blame strike_list::blame(const std::vector<running_request>& running, instant now) const {
-    death_blame blame;
+crash_attribution strike_list::attribute_crash(const std::vector<running_request>& running,
+                                               instant now) const {
+    crash_attribution blame;
     std::vector<fingerprint> suspects;
     for (const running_request& one : running) {
         if (one.has_output) {
-            blame.likely.push_back(one.request);
+            blame.deferred.push_back(one.request);
             continue;
         }
-        blame.certain.push_back(one.request);
+        blame.immediate.push_back(one.request);
         if (is_suspect(one.request, now))
             suspects.push_back(one.request);
     }
     if (suspects.size() == 1)
-        blame.certain = suspects;
-    if (!blame.certain.empty())
-        blame.likely.clear();
+        blame.immediate = suspects;
+    if (!blame.immediate.empty())
+        blame.deferred.clear();
     return blame;
 }
 
-bool strike_list::knows_death(const endpoint_id& endpoint, instant since) const {
+bool strike_list::has_strike_since(const endpoint_id& endpoint, instant since) const {
     return std::any_of(strikes_.begin(), strikes_.end(), [&endpoint, since](const auto& one) {
         auto hit = one.second.find(endpoint);
         return hit != one.second.end() && hit->second >= since;
     });
 }
 
-std::vector<strike> strike_list::all(instant now) const {
+std::vector<strike> strike_list::active(instant now) const {
     std::vector<strike> out;
     for (const std::pair<const fingerprint, std::map<endpoint_id, instant>>& one : strikes_) {
         for (const std::pair<const endpoint_id, instant>& hit : one.second) {
@@ -73,7 +74,7 @@
     return out;
 }
 
-void strike_list::forget_old(instant now) {
+void strike_list::remove_expired(instant now) {
     for (auto one = strikes_.begin(); one != strikes_.end();)
         one = count(one->first, now) == 0 ? strikes_.erase(one) : std::next(one);
 }
--- a/lib/routes/table.cpp
+++ b/lib/routes/table.cpp
@@ -57,7 +57,7 @@
             return failure(fault(errc::duplicate_route, route, host + prefix + " is taken"));
         compiled->by_name_[route.name()] = &route;
     }
-    teams::result<teams::team_table> teams = teams::team_table::make(read_teams(source));
+    teams::result<teams::team_table> teams = teams::team_table::create(read_teams(source));
     if (!teams)
         return failure(error{errc::bad_teams, teams.error().text});
     compiled->teams_ = std::move(teams.value());
--- a/lib/settings/catalog.cpp
+++ b/lib/settings/catalog.cpp
@@ -150,13 +150,13 @@
         made->plans_.emplace(one.team, std::move(one));
     }
     std::vector<teams::team> teams = make_teams(plan_list);
-    for (const teams::error& fault : teams::team_table::check(teams))
+    for (const teams::error& fault : teams::team_table::validate(teams))
         add_problem(problems, plans_name,
-                    "plan[" + std::to_string(fault.place) + "]." + field_of(fault.code),
+                    "plan[" + std::to_string(fault.index) + "]." + field_of(fault.code),
                     fault.text);
     if (!problems.empty())
         return failure(std::move(problems));
-    made->teams_ = std::move(teams::team_table::make(std::move(teams)).value());
+    made->teams_ = std::move(teams::team_table::create(std::move(teams)).value());
     made->prefers_online_tail_ = tail_weight > 0;
     return std::shared_ptr<const catalog>(std::move(made));
 }
--- a/lib/teams/team_table.cpp
+++ b/lib/teams/team_table.cpp
@@ -18,7 +18,7 @@
     return key_digest(sha256_hex(key));
 }
 
-std::string short_form(const key_digest& digest) {
+std::string digest_prefix(const key_digest& digest) {
     return digest.str().substr(0, shown_digits);
 }
 
@@ -40,14 +40,14 @@
     return std::isfinite(value) && value >= 0;
 }
 
-std::vector<error> team_table::check(const std::vector<team>& teams) {
+std::vector<error> team_table::validate(const std::vector<team>& teams) {
     std::vector<error> faults;
     std::set<team_id> names;
     std::map<key_digest, std::size_t> owners;
-    for (std::size_t place = 0; place < teams.size(); ++place) {
-        const team& one = teams[place];
-        const auto add_fault = [&faults, &one, place](errc code, const std::string& text) {
-            faults.push_back({code, "team '" + one.id.str() + "': expected " + text, place});
+    for (std::size_t index = 0; index < teams.size(); ++index) {
+        const team& one = teams[index];
+        const auto add_fault = [&faults, &one, index](errc code, const std::string& text) {
+            faults.push_back({code, "team '" + one.id.str() + "': expected " + text, index});
         };
         if (one.id.empty())
             add_fault(errc::bad_name, "a name");
@@ -58,23 +58,23 @@
         for (const key_digest& digest : one.keys) {
             if (!is_digest(digest))
                 add_fault(errc::bad_key, "keys that aren't empty, each by its SHA-256");
-            else if (owners.emplace(digest, place).first->second != place)
+            else if (owners.emplace(digest, index).first->second != index)
                 add_fault(errc::duplicate_key, "keys that no other team has");
         }
     }
     return faults;
 }
 
-result<team_table> team_table::make(std::vector<team> teams) {
-    std::vector<error> faults = check(teams);
+result<team_table> team_table::create(std::vector<team> teams) {
+    std::vector<error> faults = validate(teams);
     if (!faults.empty())
         return failure(std::move(faults.front()));
     team_table made;
     made.teams_ = std::move(teams);
-    for (std::size_t place = 0; place < made.teams_.size(); ++place) {
-        made.by_id_.emplace(made.teams_[place].id, place);
-        for (const key_digest& digest : made.teams_[place].keys)
-            made.by_key_.emplace(place_of(digest), place);
+    for (std::size_t index = 0; index < made.teams_.size(); ++index) {
+        made.by_id_.emplace(made.teams_[index].id, index);
+        for (const key_digest& digest : made.teams_[index].keys)
+            made.by_key_.emplace(place_of(digest), index);
     }
     return made;
 }
--- a/unittests/policy/policy_test.cpp
+++ b/unittests/policy/policy_test.cpp
@@ -18,8 +18,8 @@
 
 const instant start = instant(std::chrono::seconds(1000));
 
-endpoint_facts engine(const std::string& id, const std::string& zone, std::uint32_t slots) {
-    endpoint_facts facts;
+endpoint_info engine(const std::string& id, const std::string& zone, std::uint32_t slots) {
+    endpoint_info facts;
     facts.id = endpoint_id(id);
     facts.incarnation = 1;
     facts.zone = zone_id(zone);
@@ -45,10 +45,10 @@
     for (int i = 0; i < 2; ++i) {
         const std::optional<pick> chosen = one.choose(for_model(), start);
         REQUIRE(chosen->endpoint == endpoint_id("near"));
-        one.started(chosen->endpoint, 0, false);
+        one.record_start(chosen->endpoint, 0, false);
     }
     CHECK(one.choose(for_model(), start)->reason == pick_reason::other_zone);
-    one.ended(endpoint_id("near"), false, call_result::finished, start);
+    one.record_end(endpoint_id("near"), false, call_result::finished, start);
     CHECK(one.choose(for_model(), start)->endpoint == endpoint_id("near"));
 }
 
@@ -69,7 +69,7 @@
     one.set_own_batch(endpoint_id("near"), 4, 0);
     const std::optional<pick> chosen = one.choose(for_model(), start);
     REQUIRE(chosen);
-    CHECK(chosen->yield == 1);
+    CHECK(chosen->items_to_yield == 1);
 }
 
 TEST_CASE("an endpoint that fails in a row is left out, but never most of them", "[policy]") {
@@ -77,8 +77,8 @@
     one.set_endpoints({engine("x", "a", 9), engine("y", "a", 9), engine("z", "a", 9)});
     for (const char* name : {"x", "y", "z"}) {
         for (int i = 0; i < 3; ++i) {
-            one.started(endpoint_id(name), 0, false);
-            one.ended(endpoint_id(name), false, call_result::failed, start);
+            one.record_start(endpoint_id(name), 0, false);
+            one.record_end(endpoint_id(name), false, call_result::failed, start);
         }
     }
     CHECK(one.ejected(start).size() == 2);
@@ -88,8 +88,8 @@
 TEST_CASE("a slow endpoint gets fewer calls", "[policy]") {
     router one = make_router();
     one.set_endpoints({engine("fast", "a", 1000), engine("slow", "a", 1000)});
-    one.first_token(endpoint_id("fast"), microseconds(5000), start);
-    one.first_token(endpoint_id("slow"), microseconds(50000), start);
+    one.record_first_token(endpoint_id("fast"), microseconds(5000), start);
+    one.record_first_token(endpoint_id("slow"), microseconds(50000), start);
     std::map<std::string, int> picked;
     for (int i = 0; i < 1000; ++i)
         ++picked[one.choose(for_model(), start)->endpoint.str()];
@@ -99,7 +99,7 @@
 TEST_CASE("a known prefix draws the call, a suspect avoids another", "[policy]") {
     router one = make_router();
     one.set_endpoints({engine("x", "a", 100), engine("y", "a", 100)});
-    one.started(endpoint_id("x"), 42, true);
+    one.record_start(endpoint_id("x"), 42, true);
     pick_request wanted = for_model();
     wanted.prefix = 42;
     CHECK(one.choose(wanted, start)->endpoint == endpoint_id("x"));
@@ -116,7 +116,7 @@
     CHECK(passed >= 205);
     CHECK(passed <= 211);
     CHECK(one.own_rate(start + milliseconds(2000)) == Approx(100).epsilon(0.4));
-    one.set_others_rate(90);
+    one.set_remote_rate(90);
     passed = 0;
     for (int ms = 2000; ms < 4000; ++ms)
         passed += one.admit(start + milliseconds(ms)).count() == 0 ? 1 : 0;
@@ -156,7 +156,7 @@
     retry_budget budget(0.1, 5);
     int retried = 0;
     for (int i = 0; i < 1000; ++i) {
-        budget.request_started();
+        budget.record_request();
         retried += budget.take() ? 1 : 0;
     }
     CHECK(retried <= 106);
@@ -169,11 +169,13 @@
     strike_list list(std::chrono::minutes(10));
     const fingerprint poison("poison");
     const fingerprint innocent("innocent");
-    for (const fingerprint& one : list.blame({{poison, false}, {innocent, false}}, start).certain)
+    for (const fingerprint& one :
+         list.attribute_crash({{poison, false}, {innocent, false}}, start).immediate)
         list.add({one, endpoint_id("x"), start});
     CHECK(list.is_suspect(innocent, start));
     const fingerprint other("other");
-    for (const fingerprint& one : list.blame({{poison, false}, {other, false}}, start).certain)
+    for (const fingerprint& one :
+         list.attribute_crash({{poison, false}, {other, false}}, start).immediate)
         list.add({one, endpoint_id("y"), start});
     CHECK(list.is_quarantined(poison, start));
     CHECK_FALSE(list.is_quarantined(innocent, start));
@@ -185,19 +187,19 @@
     strike_list list(std::chrono::minutes(10));
     const fingerprint poison("poison");
     const fingerprint innocent("innocent");
-    const death_blame here = list.blame({{poison, false}, {innocent, true}}, start);
-    CHECK(here.certain == std::vector<fingerprint>{poison});
-    CHECK(here.likely.empty());
-    const death_blame elsewhere = list.blame({{innocent, true}}, start);
-    CHECK(elsewhere.certain.empty());
-    CHECK(elsewhere.likely == std::vector<fingerprint>{innocent});
+    const crash_attribution here = list.attribute_crash({{poison, false}, {innocent, true}}, start);
+    CHECK(here.immediate == std::vector<fingerprint>{poison});
+    CHECK(here.deferred.empty());
+    const crash_attribution elsewhere = list.attribute_crash({{innocent, true}}, start);
+    CHECK(elsewhere.immediate.empty());
+    CHECK(elsewhere.deferred == std::vector<fingerprint>{innocent});
     list.add({poison, endpoint_id("x"), start});
-    CHECK(list.knows_death(endpoint_id("x"), start));
-    CHECK_FALSE(list.knows_death(endpoint_id("x"), start + milliseconds(1)));
+    CHECK(list.has_strike_since(endpoint_id("x"), start));
+    CHECK_FALSE(list.has_strike_since(endpoint_id("x"), start + milliseconds(1)));
 }
 
 TEST_CASE("batch items are shared by weight, nearest deadline first", "[policy]") {
-    batch_schedule schedule;
+    batch_scheduler schedule;
     schedule.set_weight(team_id("heavy"), 3);
     schedule.set_weight(team_id("light"), 1);
     std::map<std::string, std::uint32_t> leased;
@@ -221,21 +223,21 @@
 }
 
 TEST_CASE("batch shrinks when it slows the first token, and grows back", "[policy]") {
-    batch_slots slots({0.05, 0.9, 1.05});
+    batch_slot_controller slots({0.05, 0.9, 1.05});
     instant now = start;
-    CHECK(slots.allowed(16, 0, now) == 15);
-    CHECK(slots.allowed(16, 16, now) == 0);
+    CHECK(slots.allowed_slots(16, 0, now) == 15);
+    CHECK(slots.allowed_slots(16, 16, now) == 0);
     for (int i = 0; i < 200; ++i) {
-        slots.first_token(microseconds(5000), false);
-        slots.first_token(microseconds(9000), true);
+        slots.record_first_token(microseconds(5000), false);
+        slots.record_first_token(microseconds(9000), true);
         now += milliseconds(50);
-        slots.allowed(16, 2, now);
+        slots.allowed_slots(16, 2, now);
     }
-    CHECK(slots.allowed(16, 2, now) <= 2);
+    CHECK(slots.allowed_slots(16, 2, now) <= 2);
     for (int i = 0; i < 400; ++i) {
-        slots.first_token(microseconds(5000), true);
+        slots.record_first_token(microseconds(5000), true);
         now += milliseconds(50);
-        slots.allowed(16, 2, now);
+        slots.allowed_slots(16, 2, now);
     }
-    CHECK(slots.allowed(16, 2, now) >= 12);
+    CHECK(slots.allowed_slots(16, 2, now) >= 12);
 }
--- a/unittests/policy/quota_strategies_test.cpp
+++ b/unittests/policy/quota_strategies_test.cpp
@@ -133,7 +133,7 @@
             for (const rate_limiter& one : limiters)
                 all += one.own_rate(now);
             for (rate_limiter& one : limiters)
-                one.set_others_rate(all - one.own_rate(now));
+                one.set_remote_rate(all - one.own_rate(now));
             return limiters.size() * (limiters.size() - 1);
         });
 }
--- a/unittests/policy/slots_test.cpp
+++ b/unittests/policy/slots_test.cpp
@@ -311,7 +311,7 @@
 // Two jobs of ten items wait, engines finish an item every 2 s, and the first job is already too
 // late. Nearest deadline first, both end late; the one that can be on time must go first.
 TEST_CASE("a job that can't be on time waits for one that can", "[slots]") {
-    batch_schedule schedule;
+    batch_scheduler schedule;
     const std::uint64_t at = 100000;
     const job_candidate missed{job_id("missed"), team_id("c"), at - 1, 1, 10};
     const job_candidate close{job_id("close"), team_id("c"), at + 20000, 2, 10};
--- a/unittests/teams/team_table_test.cpp
+++ b/unittests/teams/team_table_test.cpp
@@ -26,7 +26,7 @@
 }
 
 errc fault_of(std::vector<team> teams) {
-    const result<team_table> made = team_table::make(std::move(teams));
+    const result<team_table> made = team_table::create(std::move(teams));
     REQUIRE(!made);
     INFO(made.error().text);
     // Whoever reads the error finds the team by it.
@@ -41,9 +41,9 @@
 } // namespace
 
 TEST_CASE("each key of a team finds it, and no other text does", "[teams]") {
-    const team_table table =
-        team_table::make({make_team("a", {"k1", "k2"}), make_team("b", {"k3"}), make_team("c", {})})
-            .value();
+    const team_table table = team_table::create({make_team("a", {"k1", "k2"}),
+                                                 make_team("b", {"k3"}), make_team("c", {})})
+                                 .value();
     CHECK(name_of(table.find_by_key("k1")) == "a");
     CHECK(name_of(table.find_by_key("k2")) == "a");
     CHECK(name_of(table.find_by_key("k3")) == "b");
@@ -86,12 +86,12 @@
 }
 
 TEST_CASE("a key that one team names twice is one key", "[teams]") {
-    CHECK(team_table::make({make_team("a", {"k1", "k1"})}).has_value());
+    CHECK(team_table::create({make_team("a", {"k1", "k1"})}).has_value());
 }
 
 TEST_CASE("an error names teams and never a key", "[teams]") {
     const result<team_table> made =
-        team_table::make({make_team("a", {"secret"}), make_team("b", {"secret"})});
+        team_table::create({make_team("a", {"secret"}), make_team("b", {"secret"})});
     REQUIRE(!made);
     CHECK(made.error().text.find("secret") == std::string::npos);
     CHECK(made.error().text.find(digest_of("secret").str()) == std::string::npos);
@@ -112,7 +112,7 @@
                 owners[key].insert(name + "/" + std::to_string(i));
             list.push_back(make_team(name, keys));
         }
-        const result<team_table> made = team_table::make(list);
+        const result<team_table> made = team_table::create(list);
         const bool shared = std::any_of(owners.begin(), owners.end(),
                                         [](const auto& one) { return one.second.size() > 1; });
         if (!made) {
