--- a/include/cassia/policy/batch_slot_controller.h
+++ b/include/cassia/policy/batch_slot_controller.h
@@ -1,6 +1,6 @@
-/// How many of an engine's slots batch items may hold. Online goes first on engines that know no
-/// priority: batch gets what online leaves, less a reserve that follows the measured first-token
-/// time, and gives slots back the moment it is told.
+/// Limits the slots of an engine that batch items may hold. Engines have no priorities, so batch
+/// gets the slots that online calls leave, less a reserve that follows the measured time to first
+/// token, and yields slots on request.
 #pragma once
 
 #include "cassia/base/clock.h"
@@ -10,27 +10,26 @@
 namespace cassia::policy {
 
 struct batch_slot_settings {
-    double min_reserve = 0.05; ///< part of the slots that batch never takes
+    double min_reserve = 0.05; ///< fraction of the slots that batch never takes
     double max_reserve = 0.9;
-    /// How much slower than without batch the first token may get before batch shrinks.
+    /// Factor by which batch may slow the first token before the reserve grows.
     double tolerated_slowdown = 1.05;
 };
 
-/// Controller for one engine: additive increase while the online tail stays within its target,
-/// multiplicative decrease when it doesn't.
+/// Controller for one engine (AIMD): batch slots grow additively while the mean time to first token
+/// stays within the tolerated slowdown, and shrink multiplicatively when it doesn't.
 class batch_slot_controller {
 public:
     explicit batch_slot_controller(batch_slot_settings settings) : settings_(settings) {
         reserve_ = settings.min_reserve;
     }
 
-    /// How much slower than without batch the first token may get before batch shrinks.
     void set_tolerated_slowdown(double factor) { settings_.tolerated_slowdown = factor; }
-    /// A first token came after this long, while batch items ran beside it or not.
-    void record_first_token(microseconds after, bool beside_batch);
-    /// Slots for batch now.
-    /// \param slots that the engine has.
-    /// \param online calls that run there.
+    /// Records a time to first token, measured with or without batch items beside the call.
+    void record_first_token(microseconds latency, bool with_batch);
+    /// Slots that batch may hold now.
+    /// \param slots total slots of the engine.
+    /// \param online online calls that run there.
     std::uint32_t allowed_slots(std::uint32_t slots, std::uint32_t online, instant now);
 
     double reserve() const { return reserve_; }
@@ -38,10 +37,10 @@
 private:
     batch_slot_settings settings_;
     double reserve_;
-    double alone_us_ = 0;
-    double beside_us_ = 0;
+    double baseline_us_ = 0;
+    double with_batch_us_ = 0;
     instant adjusted_at_{};
-    std::uint32_t beside_samples_ = 0;
+    std::uint32_t with_batch_samples_ = 0;
 };
 
 } // namespace cassia::policy
--- a/include/cassia/policy/endpoint.h
+++ b/include/cassia/policy/endpoint.h
@@ -1,4 +1,4 @@
-/// What routing knows of an endpoint.
+/// Endpoints as the router sees them.
 #pragma once
 
 #include "cassia/base/clock.h"
@@ -16,25 +16,26 @@
     std::set<std::string> adapters;
 };
 
-/// An endpoint as membership knows it.
+/// An endpoint as membership reports it.
 struct endpoint_info {
     endpoint_id id;
     std::uint64_t incarnation = 0;
     http_address address;
     zone_id zone;
-    service_id service; ///< of a plain service
+    service_id service; ///< for a plain service
     bool engine = false;
     std::map<service_id, served_model> models;
     std::uint32_t max_running = 0;
     std::uint32_t reported_running = 0;
     std::uint32_t reported_waiting = 0;
-    std::uint32_t remote_online = 0;   ///< online calls of other entries under way
-    std::uint32_t remote_batch = 0;    ///< batch items of other entries under way
-    std::uint32_t remote_suspects = 0; ///< calls under way that may have crashed an endpoint
-    entry_id steward;                  ///< the one entry that sends batch items to it
+    std::uint32_t remote_online = 0; ///< online calls in flight from other entries
+    std::uint32_t remote_batch = 0;  ///< batch items in flight from other entries
+    std::uint32_t remote_suspects =
+        0;            ///< in-flight requests of other entries that may have crashed an endpoint
+    entry_id steward; ///< the only entry that sends batch items to it
 };
 
-/// What a request asks for.
+/// Service, version and adapter that a request needs.
 struct service_demand {
     service_id service;
     std::string version; ///< empty: any
--- a/include/cassia/policy/quota_enforcer.h
+++ b/include/cassia/policy/quota_enforcer.h
@@ -1,5 +1,5 @@
-/// A gateway's side of quotas over all gateways: decides on each request, at once where the owner
-/// of the team's quota lets it, else by asking the owner. Pure.
+/// A gateway's side of fleet-wide quotas: decides on each request, locally where the owner of the
+/// team's quota permits it, else by asking the owner. Pure.
 #pragma once
 
 #include "cassia/base/clock.h"
@@ -18,7 +18,7 @@
 
 namespace cassia::policy {
 
-/// Where a request's token came from, so that it can be given back.
+/// Origin of a request's token, for a refund.
 struct quota_grant {
     team_id team; ///< empty: no token was needed
     entry_id owner;
@@ -27,18 +27,18 @@
 
 enum class quota_verdict : std::uint8_t {
     admitted,
-    rejected, ///< beyond the quota
-    pending,  ///< comes later, with the number of the ask
+    rejected, ///< above the quota
+    pending,  ///< the owner was asked; the decision follows under the ask's number
 };
 
 struct quota_decision {
     quota_verdict verdict = quota_verdict::admitted;
-    milliseconds retry_after{0}; ///< of one rejected
-    quota_grant grant;           ///< of one admitted
+    milliseconds retry_after{0}; ///< if rejected
+    quota_grant grant;           ///< if admitted
     std::uint64_t ask = 0;
 };
 
-/// What is to be sent, and decisions on requests that were asked for.
+/// Messages to send, and decisions on pending requests.
 struct quota_output {
     std::vector<std::pair<entry_id, quota_report>> reports;
     std::vector<std::pair<entry_id, quota_reply>> replies;
@@ -47,38 +47,39 @@
 
 class quota_enforcer {
 public:
-    /// \param incarnation of this gateway; grows from process to process.
-    /// \param tolerance the more, the fewer requests wait for an owner's answer.
+    /// \param incarnation of this gateway; increases with each process.
+    /// \param tolerance the higher, the fewer requests wait for an owner's answer.
     quota_enforcer(entry_id self, std::uint64_t incarnation, quota_tolerance tolerance);
 
-    /// Replaces the other gateways that live.
+    /// Replaces the list of other live gateways.
     void set_gateways(const std::vector<fleet_gateway>& others, instant now);
     void set_quotas(quota_map quotas, instant now);
-    /// This gateway owns nothing any more.
+    /// Gives up ownership of all quotas before shutdown.
     void leave(instant now);
 
     quota_decision admit(const team_id& team, instant now);
-    /// The request has not run and never will.
+    /// Returns the token of a request that has not run and never will.
     void refund(const quota_grant& grant, instant now);
-    /// The caller of a request that was asked for has left.
+    /// The caller of a pending request has disconnected; its decision is dropped.
     void cancel_ask(std::uint64_t ask);
 
     void receive(const entry_id& from, const quota_report& report, instant now);
     void receive(const entry_id& from, const quota_reply& reply, instant now);
-    /// What is due now.
+    /// Advances time. \returns what is due now.
     quota_output poll(instant now);
 
-    /// Gateways that own quotas, and whether one is avoided.
+    /// Gateways that own quotas.
     const std::vector<entry_id>& owners() const { return owners_; }
+    /// Whether an owner is avoided since it did not answer.
     bool is_avoided(const entry_id& owner) const;
-    /// Whether this gateway is the one to ask, by its own view.
+    /// Whether this gateway owns the team's quota, by its own view.
     bool owns(const team_id& team) const { return owner_of(shard_of(team)) == self_; }
 
 private:
     struct reported_totals {
         quota_totals totals;
-        std::uint64_t sequence = 0; ///< of the report that carried them first; 0 for none yet
-        bool answered = true;       ///< the owner knows of all requests admitted
+        std::uint64_t sequence = 0; ///< of the first report with these totals; 0 if not sent yet
+        bool acknowledged = true;   ///< the owner has received all admitted requests
     };
     struct sent_report {
         std::uint64_t sequence = 0;
@@ -87,44 +88,44 @@
     struct owner_state {
         std::uint64_t epoch = 0;
         std::uint64_t sequence = 0;
-        std::deque<sent_report> unanswered;
+        std::deque<sent_report> unacknowledged;
         instant reported_at{};
-        instant answered_at{};
-        instant failed_at{};  ///< none while it is trusted
-        shard_set shards = 0; ///< that this gateway asks it about
+        instant acknowledged_at{};
+        instant failed_at{};  ///< unset while the owner answers
+        shard_set shards = 0; ///< shards that this gateway asks it about
         shard_set reported_shards = 0;
         std::set<team_id> open;
         std::map<team_id, reported_totals> totals;
-        std::vector<quota_ask> asks; ///< not yet sent
+        std::vector<quota_ask> asks; ///< not sent yet
     };
-    struct open_ask {
+    struct pending_ask {
         team_id team;
-        entry_id owner; ///< empty while no list of gateways is known
+        entry_id owner; ///< empty if no owner is known
         instant asked_at{};
         std::uint32_t tries = 0;
-        bool forgotten = false;
+        bool cancelled = false;
     };
     struct denial {
         instant until{};
         instant retry_at{};
     };
 
-    void rank();
+    void rank_owners();
     const entry_id& owner_of(std::uint32_t shard) const;
     void update_shards(instant now);
-    bool admits_by_itself(const owner_state& owner, const team_id& team, instant now) const;
-    std::optional<quota_decision> reject_known(const team_id& team, instant now);
+    bool may_admit_locally(const owner_state& owner, const team_id& team, instant now) const;
+    std::optional<quota_decision> reject_from_denial(const team_id& team, instant now);
     quota_decision decide(const team_id& team, const entry_id& owner, std::uint64_t epoch,
                           const quota_answer& answer, instant now);
-    /// \returns false if this gateway has decided by itself.
-    bool send_ask(std::uint64_t id, open_ask& one, instant now);
-    /// Asks another owner what was asked of this one; empty: what was asked of none.
+    /// \returns false if this gateway decided it locally.
+    bool send_ask(std::uint64_t id, pending_ask& one, instant now);
+    /// Sends the pending asks of this owner to another one; empty: those without an owner.
     void redirect_asks(const entry_id& owner, instant now);
-    void finish_ask(std::uint64_t id, const open_ask& one, quota_decision decision, instant now);
-    void fail(const entry_id& owner, instant now);
-    void check_owners(instant now);
-    void check_asks(instant now);
-    quota_report report_to(owner_state& state, instant now) const;
+    void finish_ask(std::uint64_t id, const pending_ask& one, quota_decision decision, instant now);
+    void mark_failed(const entry_id& owner, instant now);
+    void fail_silent_owners(instant now);
+    void retry_timed_out_asks(instant now);
+    quota_report build_report(owner_state& state, instant now) const;
     static bool is_report_due(const owner_state& state, instant now);
 
     entry_id self_;
@@ -132,17 +133,17 @@
     quota_ledger ledger_;
     quota_map quotas_;
     std::vector<fleet_gateway> others_;
-    bool knows_fleet_ = false;
+    bool has_gateway_list_ = false;
     bool leaving_ = false;
     std::vector<entry_id> owners_;
-    std::vector<std::vector<entry_id>> ranked_; ///< owners by shard, first choice first
-    std::map<entry_id, owner_state> states_;    ///< of the owners but this gateway itself
-    std::map<std::uint64_t, open_ask> asks_;
+    std::vector<std::vector<entry_id>> ranked_; ///< owners in order of preference, by shard
+    std::map<entry_id, owner_state> states_;    ///< by owner, without this gateway
+    std::map<std::uint64_t, pending_ask> asks_;
     std::uint64_t last_ask_ = 0;
     std::map<team_id, denial> denials_;
     std::vector<quota_decision> decisions_;
     std::vector<std::pair<entry_id, quota_reply>> replies_;
-    instant checked_at_{};
+    instant polled_at_{};
 };
 
 } // namespace cassia::policy
--- a/include/cassia/policy/quota_ledger.h
+++ b/include/cassia/policy/quota_ledger.h
@@ -1,5 +1,5 @@
-/// The owner's side of quotas over all gateways: a bucket for each team, filled in proportion to
-/// the gateways that ask this owner. Answers the load of a team that is spread over many gateways.
+/// The owner's side of fleet-wide quotas: one token bucket per team, filled in proportion to the
+/// share of gateways that ask this owner, so that a team's load may be spread over many gateways.
 /// Pure.
 #pragma once
 
@@ -21,35 +21,35 @@
 
 using quota_map = std::map<team_id, teams::quota>;
 
-/// What a team may be admitted beyond its quota in any window. Used for what isn't known: requests
-/// under way that aren't reported, and what was admitted before an owner started.
+/// Requests that a team may be granted above its quota in any window. Covers what an owner can't
+/// know: unreported requests in flight, and requests admitted before the owner started.
 struct quota_tolerance {
     double requests = 0;
-    double part = 0;     ///< of what the quota allows in a window, 0 to 1
+    double fraction = 0; ///< of the requests that the quota allows in a window, 0 to 1
     double window_s = 0; ///< length of a window, seconds
 
     double max_excess(const teams::quota& quota) const {
-        return requests + part * (quota.rate.per_second * window_s + quota.burst.value);
+        return requests + fraction * (quota.rate.per_second * window_s + quota.burst.value);
     }
 };
 
 class quota_ledger {
 public:
-    /// \param epoch differs from that of each earlier process of this gateway.
+    /// \param epoch must differ from that of every earlier process of this gateway.
     quota_ledger(entry_id self, std::uint64_t epoch, quota_tolerance tolerance);
 
     /// Replaces the quotas; buckets keep their level.
     void set_quotas(quota_map quotas, instant now);
-    /// Number of gateways that live, this one included.
+    /// Number of live gateways, including this one.
     void set_fleet_size(std::size_t gateways) { fleet_size_ = gateways; }
-    /// The shards that this gateway asks itself about.
+    /// Sets the shards that this gateway owns by its own view.
     void set_own_shards(shard_set shards, instant now);
 
     quota_reply receive(const entry_id& from, const quota_report& report, instant now);
-    /// Decides on one request of this gateway itself, or of another.
+    /// Decides on one request, of this gateway or of another.
     quota_answer ask(const team_id& team, instant now);
     void refund(const team_id& team, instant now);
-    /// Passes time. \returns what gateways must know at once.
+    /// Advances time. \returns replies that must be sent without waiting for a report.
     std::vector<std::pair<entry_id, quota_reply>> tick(instant now);
 
     std::uint64_t epoch() const { return epoch_; }
@@ -64,15 +64,15 @@
         std::set<team_id> announced_open;
     };
     struct shard_share {
-        double part = 0;
-        double earned_s = 0; ///< seconds of the full rate since it is granted here
-        double credited = 0; ///< part of the tolerance that was granted at the start
+        double fraction = 0;
+        double earned_s = 0; ///< seconds of the full rate accrued since this owner grants it
+        double credited_fraction = 0; ///< fraction of the start tolerance already granted
     };
     struct account {
         token_bucket bucket;
-        double credited = 0; ///< as of its shard
+        double credited_fraction = 0; ///< as in its shard_share
         bool open = false;
-        instant promised_until{}; ///< when the last one rejected was told to return
+        instant next_retry_at{}; ///< when the last rejected caller was told to retry
     };
 
     account* find_account(const team_id& team, instant now);
@@ -80,9 +80,9 @@
     void announce_open(reporter& to, quota_reply& reply) const;
     void update_shares(instant now);
     void update_accounts(instant now);
-    void limit(const team_id& team, account& one, instant now);
+    void apply_limit(const team_id& team, account& one, instant now);
     void update_open(const team_id& team, account& one, instant now);
-    void restart(instant now);
+    void reset(instant now);
 
     entry_id self_;
     std::uint64_t epoch_;
@@ -92,8 +92,9 @@
     std::map<entry_id, reporter> reporters_;
     shard_set own_shards_ = 0;
     std::array<shard_share, quota_shards> shares_;
-    std::array<std::size_t, quota_shards> users_{}; ///< gateways that ask about a shard
-    std::size_t shared_by_ = 0;                     ///< fleet size that the shares follow
+    std::array<std::size_t, quota_shards>
+        asking_gateways_{};             ///< gateways that ask about each shard
+    std::size_t shares_fleet_size_ = 0; ///< fleet size that the shares are computed from
     std::map<team_id, account> accounts_;
     std::vector<team_id> newly_closed_;
     instant ticked_at_{};
--- a/include/cassia/policy/request_queue.h
+++ b/include/cassia/policy/request_queue.h
@@ -1,4 +1,4 @@
-/// Requests that wait for a slot, and in which order they get one. Pure.
+/// Requests that wait for a slot, and the order in which they get one. Pure.
 #pragma once
 
 #include "cassia/base/clock.h"
@@ -13,24 +13,25 @@
 struct queued_request {
     exchange_id id;
     service_id service;
-    team_id team;               ///< empty where no key is needed
+    team_id team;               ///< empty for routes that need no key
     std::uint32_t priority = 0; ///< 0 is the highest
     instant arrived{};
-    instant target_deadline{}; ///< sent later than this, its answer misses the target
-    instant expires_at{};      ///< sent later than this, it can't be served any more
+    instant target_deadline{}; ///< dispatched later, its answer misses the latency target
+    instant expires_at{};      ///< dispatched later, it can't be answered in time
 };
 
 class request_queue {
 public:
     void add(const queued_request& request);
-    /// It is served: its team has had a turn.
+    /// Removes a request that was dispatched, and counts it for its team.
     void remove_served(exchange_id id);
     void remove(exchange_id id);
     bool contains(exchange_id id) const { return waiting_.count(id) > 0; }
     /// The next request of a service: those that can still meet their target before those that
-    /// can't, by priority; within one, teams take turns, each by how soon its targets pass.
+    /// can't, then by priority; within a priority the team served least goes first, with its
+    /// request whose target is nearest.
     std::optional<exchange_id> next(const service_id& service, instant now) const;
-    /// Requests that are beyond their time.
+    /// Requests that are past their `expires_at`.
     std::vector<exchange_id> expired(instant now) const;
     std::vector<service_id> services() const;
     std::size_t size() const { return waiting_.size(); }
@@ -38,8 +39,8 @@
 
 private:
     std::map<exchange_id, queued_request> waiting_;
-    /// Requests served of each team that waits, beginning with those of the team served least.
-    std::map<team_id, std::uint64_t> turns_;
+    /// Requests served per waiting team; a team that joins starts at the lowest count.
+    std::map<team_id, std::uint64_t> served_by_team_;
 };
 
 } // namespace cassia::policy
--- a/include/cassia/policy/route_table_wait.h
+++ b/include/cassia/policy/route_table_wait.h
@@ -1,4 +1,4 @@
-/// When a caller that is turned away should come back. Pure.
+/// How a gateway without a route table treats callers: wait or refuse with a retry time. Pure.
 #pragma once
 
 #include "cassia/base/clock.h"
@@ -7,14 +7,13 @@
 
 namespace cassia::policy {
 
-/// How long a gateway that has no table of routes yet keeps a caller, before it turns it away.
-/// \param may_come_back whether the caller has time to come back.
-milliseconds route_table_wait(milliseconds left, bool may_come_back);
+/// How long a gateway that has no route table yet holds a request before it refuses it.
+/// \param can_retry whether the caller has time for a retry.
+milliseconds route_table_wait(milliseconds remaining, bool can_retry);
 
-/// For a gateway that has no table of routes yet: when to come back, or nothing if the caller has
-/// no time for that, and is better kept until the table is there.
-/// \param left time that the caller still has.
-/// \param draw 0 to 1; spreads the callers.
-std::optional<milliseconds> route_table_retry_after(milliseconds left, double draw);
+/// Retry-After for a request that is refused for want of a route table; nothing if the caller has
+/// no time for a retry, and its request should be held until the table arrives. \param remaining
+/// time until the caller's deadline. \param random_fraction 0 to 1; spreads the retries.
+std::optional<milliseconds> route_table_retry_after(milliseconds remaining, double random_fraction);
 
 } // namespace cassia::policy
--- a/include/cassia/policy/slot_table.h
+++ b/include/cassia/policy/slot_table.h
@@ -1,5 +1,4 @@
-/// Which slots of the endpoints are taken, by this entry and by the others, and where the next
-/// request goes. Pure.
+/// Tracks the slots of endpoints that this gateway and the others use, and places requests. Pure.
 #pragma once
 
 #include "cassia/base/clock.h"
@@ -16,23 +15,23 @@
 
 enum class work_kind : std::uint8_t { online, batch };
 
-/// An endpoint that may get work.
+/// An endpoint that may be given requests.
 struct slot_endpoint {
     endpoint_id id;
     std::uint64_t incarnation = 0;
     http_address address;
     zone_id zone;
     service_id service;
-    std::uint32_t slots = 1; ///< requests that it runs at once
+    std::uint32_t slots = 1; ///< requests that it runs concurrently
 
     friend bool operator==(const slot_endpoint&, const slot_endpoint&) = default;
 };
 
-/// What one entry, or several together, have under way at an endpoint.
+/// Requests in flight at an endpoint, of one gateway or summed over several.
 struct slot_usage {
     std::uint32_t online = 0;
     std::uint32_t batch = 0;
-    std::uint32_t suspected_by = 0; ///< entries whose last requests there came to nothing
+    std::uint32_t suspected_by = 0; ///< gateways whose latest requests there failed
 
     friend bool operator==(const slot_usage&, const slot_usage&) = default;
 };
@@ -42,105 +41,107 @@
 struct placement {
     endpoint_id endpoint;
     http_address address;
-    /// Set if a batch item has to yield its slot: the entry that runs it, empty for this one.
+    /// Set if a batch item must yield its slot: the gateway that runs it, empty for this one.
     std::optional<entry_id> yielding_gateway;
-    std::int64_t free = 0; ///< slots that seemed free there
-    bool on_trial = false; ///< its last requests came to nothing
+    std::int64_t free = 0; ///< slots that were free there, by this gateway's view
+    bool on_trial = false; ///< its latest requests failed
 };
 
-/// Adds what somebody has under way to a sum.
-void add_usage(slot_usage_map& sum, const slot_usage_map& uses);
+/// Adds usage to a sum, endpoint by endpoint.
+void add_usage(slot_usage_map& sum, const slot_usage_map& usage);
 
 class slot_table {
 public:
     explicit slot_table(zone_id own_zone) : own_zone_(std::move(own_zone)) {}
 
-    /// Replaces the endpoints; what is under way at those that stay is kept.
+    /// Replaces the endpoints. Usage is kept, as are the failures of endpoints that still run the
+    /// same process.
     void set_endpoints(const std::vector<slot_endpoint>& endpoints);
-    /// What another entry, or those that one sums up, have under way, as it said last.
-    void set_remote_usage(const entry_id& entry, slot_usage_map uses, instant now);
-    /// Forgets entries that said nothing for long: their work is gone with them.
+    /// Replaces the usage reported by another gateway, or by a relay for a whole zone.
+    void set_remote_usage(const entry_id& gateway, slot_usage_map usage, instant now);
+    /// Drops the usage of gateways that have been silent: their requests have ended with them.
     void expire_remote_usage(instant now);
 
     void acquire(const endpoint_id& endpoint, work_kind kind);
     void release(const endpoint_id& endpoint, work_kind kind);
-    /// What this entry has under way, and which endpoints it suspects, to be told to the others.
+    /// Usage of this gateway, and the endpoints that it suspects, to be sent to the others.
     slot_usage_map own_usage() const;
 
-    /// A request came to nothing there. For a while, longer each time, it gets none; after that it
-    /// is on trial until one is answered. \returns for how long it gets none.
+    /// A request failed there. The endpoint is suspended, for longer with each failure, and then on
+    /// trial until a request succeeds. \returns the length of the suspension.
     milliseconds record_failure(const endpoint_id& endpoint, instant now);
-    /// A request was answered there.
+    /// A request succeeded there: ends suspension and trial.
     void record_success(const endpoint_id& endpoint);
-    /// A stream from there paused for too long. One may have lost a packet; if another pauses
-    /// before anything else is heard from there, the endpoint is suspected. \returns for how long
-    /// it gets no requests, 0 if it still does.
+    /// A stream from there stalled. A single stall may be a lost packet; a second one, with nothing
+    /// received from the endpoint in between, counts as a failure. \returns the length of the
+    /// suspension, 0 if there is none.
     milliseconds record_stall(const endpoint_id& endpoint, instant now);
-    /// Something of a stream came from there.
+    /// Stream data was received from there.
     void record_progress(const endpoint_id& endpoint);
 
-    /// Where an online request goes: a free slot near by, one further off, or one that batch holds.
-    /// Nothing if every slot serves an online request.
-    /// \param draw 0 to 1; decides between equals.
+    /// Places an online request: at a free slot in this zone, in another zone, or at a slot held by
+    /// batch. Nothing if no usable slot is left.
+    /// \param random_fraction 0 to 1; selects among the candidates.
     std::optional<placement> place_online(const service_id& service,
-                                          const std::set<endpoint_id>& avoid, instant now,
-                                          double draw) const;
-    /// Another endpoint with a free slot for a stream that stalled; nothing that would make anybody
-    /// wait.
+                                          const std::set<endpoint_id>& excluded, instant now,
+                                          double random_fraction) const;
+    /// Places a stalled stream at a free slot; never on trial and never at the cost of a batch
+    /// item.
     std::optional<placement> place_stalled(const service_id& service,
-                                           const std::set<endpoint_id>& avoid, instant now,
-                                           double draw) const;
-    /// Where a batch item goes: a free slot, while more than the reserve is free; any free one if
-    /// the item is urgent.
+                                           const std::set<endpoint_id>& excluded, instant now,
+                                           double random_fraction) const;
+    /// Places a batch item at a free slot if more than the online reserve is free, or if it is
+    /// urgent.
     std::optional<placement> place_batch(const service_id& service,
-                                         const std::set<endpoint_id>& avoid, instant now,
-                                         double draw, bool urgent = false) const;
-    /// Whether all slots are taken, as far as is known.
+                                         const std::set<endpoint_id>& excluded, instant now,
+                                         double random_fraction, bool urgent = false) const;
+    /// Whether all slots are in use, as far as is known; true for an unknown endpoint.
     bool is_full(const endpoint_id& endpoint) const;
-    /// An entry that runs batch items there; this one if it does (empty), or any other.
+    /// A gateway that runs batch items there: this one (empty) if it does, else any other.
     std::optional<entry_id> batch_holder(const endpoint_id& endpoint) const;
-    /// The same where all slots are taken; nothing where an item that yields makes no room.
+    /// The same if all slots are in use; nothing while some are free.
     std::optional<entry_id> batch_holder_if_full(const endpoint_id& endpoint) const;
-    /// Slots of a service that batch may still take.
+    /// Free slots of a service above the online reserve.
     std::uint32_t batch_capacity(const service_id& service, instant now) const;
     std::uint32_t total_slots(const service_id& service, instant now) const;
     bool contains(const endpoint_id& endpoint) const { return endpoints_.count(endpoint) > 0; }
 
 private:
-    struct known_endpoint {
-        slot_endpoint facts;
+    struct endpoint_state {
+        slot_endpoint info;
         instant suspended_until{};
-        std::uint32_t failures = 0; ///< in a row
-        bool stalled = false;       ///< a stream paused, and nothing was heard from there since
+        std::uint32_t failures = 0; ///< consecutive
+        bool stalled = false;       ///< a stream stalled, and nothing was received since
     };
-    struct other_entry {
-        slot_usage_map uses;
-        instant heard{};
+    struct remote_usage {
+        slot_usage_map usage;
+        instant received_at{};
     };
     struct candidate {
-        const known_endpoint* endpoint = nullptr;
-        std::int64_t free = 0;           ///< slots that nobody uses
-        std::int64_t free_of_online = 0; ///< slots without an online request
-        bool on_trial = false;           ///< to be used where there is nothing else
+        const endpoint_state* endpoint = nullptr;
+        std::int64_t free = 0;          ///< unused slots
+        std::int64_t free_or_batch = 0; ///< slots that run no online request
+        bool on_trial = false;          ///< online uses it only as a last resort
     };
 
-    void take_from_others(const slot_usage_map& uses);
+    void subtract_remote(const slot_usage_map& usage);
     slot_usage total_use(const endpoint_id& endpoint) const;
-    std::uint32_t suspecting_others(const endpoint_id& endpoint) const;
-    std::vector<candidate> candidates(const service_id& service, const std::set<endpoint_id>& avoid,
-                                      instant now) const;
+    std::uint32_t remote_suspicions(const endpoint_id& endpoint) const;
+    std::vector<candidate> candidates(const service_id& service,
+                                      const std::set<endpoint_id>& excluded, instant now) const;
     static placement placed_at(const candidate& chosen);
-    const candidate* best(const std::vector<candidate>& all, bool own_zone, bool on_trial,
-                          double draw) const;
-    const candidate* best_yielding(const std::vector<candidate>& all, bool own_zone, bool on_trial,
-                                   double draw) const;
+    const candidate* pick_free(const std::vector<candidate>& all, bool own_zone, bool on_trial,
+                               double random_fraction) const;
+    const candidate* pick_yielding(const std::vector<candidate>& all, bool own_zone, bool on_trial,
+                                   double random_fraction) const;
 
     zone_id own_zone_;
-    std::map<endpoint_id, known_endpoint> endpoints_;
+    std::map<endpoint_id, endpoint_state> endpoints_;
     slot_usage_map own_;
-    std::map<entry_id, other_entry> others_;
-    /// Sums of `others_`: with 64 of them each placement would add up some thousand counts.
-    slot_usage_map others_total_;
+    std::map<entry_id, remote_usage> remote_;
+    /// Sum of `remote_`, kept up to date because with 64 gateways each placement would otherwise
+    /// add up some thousand counts.
+    slot_usage_map remote_total_;
 };
 
 } // namespace cassia::policy
--- a/include/cassia/policy/stall_timeout_estimator.h
+++ b/include/cassia/policy/stall_timeout_estimator.h
@@ -1,4 +1,4 @@
-/// When a pause in a stream is taken for a lost packet. Pure.
+/// Estimates after which pause a stream counts as stalled by a lost packet. Pure.
 #pragma once
 
 #include "cassia/base/clock.h"
@@ -7,19 +7,19 @@
 
 namespace cassia::policy {
 
-/// The pauses between events of one service's streams, as observed.
+/// Moving statistics of the pauses between events of one service's streams.
 class stall_timeout_estimator {
 public:
     void record_pause(microseconds pause);
-    /// Silence after which a stream goes on at another endpoint, if one has a free slot.
-    /// \param longest_pause longest one between two events of this stream so far; 0 if none.
-    /// \param allowed_pause longest one that is still on time; 0 if that isn't known.
+    /// Silence after which a stream is moved to another endpoint, if one has a free slot.
+    /// \param longest_pause between two events of this stream so far; 0 if none.
+    /// \param allowed_pause longest pause within the latency target; 0 if there is none.
     microseconds stall_timeout(microseconds longest_pause, milliseconds allowed_pause) const;
 
 private:
-    std::uint64_t noted_ = 0;
+    std::uint64_t samples_ = 0;
     double mean_us_ = 0;
-    double deviation_us_ = 0; ///< mean of the distances from the mean
+    double deviation_us_ = 0; ///< mean absolute deviation
 };
 
 } // namespace cassia::policy
--- a/include/cassia/policy/strikes.h
+++ b/include/cassia/policy/strikes.h
@@ -1,5 +1,6 @@
-/// Requests that crash endpoints. When an endpoint dies, each request that ran there gets a strike,
-/// known to all entries; with one it runs beside no other suspect, with two it is quarantined.
+/// Tracks requests that crash endpoints. When an endpoint dies, requests that ran there get a
+/// strike, which is shared with all entries. A request with one strike is a suspect, and no two
+/// suspects run on one endpoint; with two strikes it is quarantined.
 #pragma once
 
 #include "cassia/base/clock.h"
@@ -19,13 +20,13 @@
 /// A request that ran at an endpoint when it died.
 struct running_request {
     fingerprint request;
-    bool has_output = false; ///< the endpoint had begun to answer it
+    bool has_output = false; ///< the endpoint had begun its answer
 };
 
-/// Whom a death is blamed on.
+/// The requests that a crash is attributed to.
 struct crash_attribution {
-    std::vector<fingerprint> immediate; ///< struck at once
-    /// Struck after blame_delay, unless another entry has blamed the same death by then.
+    std::vector<fingerprint> immediate; ///< get a strike at once
+    /// Get a strike after attribution_delay, unless another entry has attributed the crash by then.
     std::vector<fingerprint> deferred;
 };
 
@@ -36,25 +37,25 @@
 
 class strike_list {
 public:
-    explicit strike_list(milliseconds memory) : memory_(memory) {}
+    explicit strike_list(milliseconds retention) : retention_(retention) {}
 
     /// \returns whether the strike was new.
     bool add(const strike& one);
     crash_attribution attribute_crash(const std::vector<running_request>& running,
                                       instant now) const;
-    /// Whether anybody has blamed a death of the endpoint at or after this time.
+    /// Whether a crash of the endpoint at or after this time has been attributed to any request.
     bool has_strike_since(const endpoint_id& endpoint, instant since) const;
 
     bool is_suspect(const fingerprint& request, instant now) const;
     bool is_quarantined(const fingerprint& request, instant now) const;
-    /// Strikes that are still remembered, for spreading.
+    /// Strikes within the retention, to be shared with other entries.
     std::vector<strike> active(instant now) const;
     void remove_expired(instant now);
 
 private:
     std::size_t count(const fingerprint& request, instant now) const;
 
-    milliseconds memory_;
+    milliseconds retention_;
     std::map<fingerprint, std::map<endpoint_id, instant>> strikes_;
 };
 
--- a/include/cassia/policy/token_bucket.h
+++ b/include/cassia/policy/token_bucket.h
@@ -1,4 +1,4 @@
-/// A bucket that fills at a rate up to a capacity. Pure.
+/// Token bucket that fills at a rate up to a capacity. Pure.
 #pragma once
 
 #include "cassia/base/clock.h"
@@ -24,7 +24,7 @@
         fill(now);
         return level_;
     }
-    /// May leave a debt.
+    /// May make the level negative.
     void take(double count, instant now) {
         fill(now);
         level_ -= count;
@@ -33,14 +33,14 @@
         fill(now);
         level_ = std::min(capacity_, level_ + count);
     }
-    /// How long until one token is there; at most `longest`.
-    milliseconds time_to_next(instant now, milliseconds longest) {
+    /// Time until one token is available; at most `max_wait`.
+    milliseconds time_to_next(instant now, milliseconds max_wait) {
         fill(now);
         if (level_ >= 1)
             return milliseconds(0);
         const double wait_ms = per_second_ > 0 ? (1 - level_) / per_second_ * ms_per_s
-                                               : static_cast<double>(longest.count());
-        return std::min(longest, milliseconds(static_cast<std::int64_t>(std::ceil(wait_ms))));
+                                               : static_cast<double>(max_wait.count());
+        return std::min(max_wait, milliseconds(static_cast<std::int64_t>(std::ceil(wait_ms))));
     }
 
 private:
--- a/include/cassia/policy/usage_exchange.h
+++ b/include/cassia/policy/usage_exchange.h
@@ -1,5 +1,6 @@
-/// How gateways tell each other which slots they use. In a small fleet each tells all others; in a
-/// larger one each reports to a relay of its availability zone, and relays pass on sums. Pure.
+/// Distributes the slot usage of each gateway to the others. In a small fleet each sends it to all
+/// others; in a larger one each reports to a relay of its availability zone, and relays send sums.
+/// Pure.
 #pragma once
 
 #include "cassia/base/clock.h"
@@ -14,108 +15,109 @@
 
 namespace cassia::policy {
 
-/// Another gateway that lives.
+/// Another live gateway.
 struct fleet_gateway {
     entry_id id;
     zone_id zone;
-    bool leaving = false; ///< serves what it has, and is no relay
+    bool leaving = false; ///< finishes its requests, and can't be a relay or quota owner
 
     friend bool operator==(const fleet_gateway&, const fleet_gateway&) = default;
 };
 
-/// What whole zones have under way; the same sum goes to many gateways.
+/// Usage of whole zones; shared pointers, as one sum goes to many gateways.
 using zone_usage_map = std::map<zone_id, std::shared_ptr<const slot_usage_map>>;
 
-/// What is to be sent to another gateway.
+/// A message to another gateway.
 struct usage_message {
     enum class content : std::uint8_t {
-        own_use, ///< what the sender has under way, to a gateway that keeps it by its sender
-        report,  ///< the same, to the sender's relay
-        sums,    ///< what whole zones have under way, without what the receiver reported
+        own_use, ///< usage of the sender, to be kept under the sender's name
+        report,  ///< usage of the sender, to its relay
+        sums,    ///< usage of whole zones, less what the receiver reported
     };
-    entry_id to; ///< this gateway itself: for its own slot table
+    entry_id to; ///< if this gateway itself: for its own slot table
     content kind = content::own_use;
-    slot_usage_map own;   ///< with `own_use` and `report`
-    zone_usage_map zones; ///< with `sums`: those that the receiver wasn't told yet
+    slot_usage_map own;   ///< for `own_use` and `report`
+    zone_usage_map zones; ///< for `sums`: those that have changed or are repeated
 };
 
-/// Where a request for a slot that a batch item holds goes next.
+/// Next hop of a request that a batch item yields its slot.
 struct yield_target {
     entry_id gateway;
-    bool holds_item = false; ///< false: a relay, which chooses among the gateways of its zone
+    bool holds_item = false; ///< false: a relay, which selects a gateway of its zone
 };
 
 class usage_exchange {
 public:
     usage_exchange(entry_id self, zone_id zone);
 
-    /// Replaces the other gateways that live.
+    /// Replaces the list of other live gateways.
     void set_gateways(std::vector<fleet_gateway> others);
-    /// This gateway is no relay any more.
+    /// Stops being a relay before shutdown.
     void leave();
-    /// What is due now. \param own what this gateway has under way.
+    /// Advances time. \returns the messages due now. \param own usage of this gateway.
     std::vector<usage_message> poll(const slot_usage_map& own, instant now);
-    void receive_report(const entry_id& from, slot_usage_map uses, instant now);
-    /// \returns whether they count: those of the own zone come from the relay chosen.
+    void receive_report(const entry_id& from, slot_usage_map usage, instant now);
+    /// \returns whether the sums are to be used: sums for the own zone only from the current relay.
     bool receive_sums(const entry_id& relay, const zone_id& zone, const zone_usage_map& zones,
                       instant now);
 
-    /// Whether the fleet is too large for each gateway to tell all others.
+    /// Whether the fleet is too large for each gateway to send to all others.
     bool uses_relays() const;
-    /// The relay that this gateway reports to; nothing if it relays itself.
+    /// The relay that this gateway reports to; nothing if it is the relay or none is used.
     std::optional<entry_id> relay() const;
-    /// A gateway that may give up a slot there, as far as this relay knows; counted as given up
-    /// until the gateway reports anew. \param own_zone_only not to ask the relays of other zones.
+    /// Chooses a gateway whose batch item at the endpoint is to yield. The item no longer counts
+    /// until that gateway's next report. \param own_zone_only excludes the relays of other zones.
     std::optional<yield_target> choose_yield_target(const endpoint_id& endpoint,
                                                     bool own_zone_only);
 
-    /// The name under which a slot table keeps what a zone has under way.
+    /// The name under which a slot table keeps the usage of a zone.
     static entry_id zone_key(const zone_id& zone);
 
 private:
     struct report {
-        slot_usage_map uses;
-        instant heard{};
-        slot_usage_map told_own_zone; ///< sum that it was sent last
-        zone_usage_map told_zones;    ///< the same of the other zones
-        instant told_at{};            ///< the own zone's sum
+        slot_usage_map usage;
+        instant received_at{};
+        slot_usage_map sent_own_zone; ///< sum last sent to it
+        zone_usage_map sent_zones;    ///< the same for other zones
+        instant sent_at{};            ///< when the own zone's sum was sent
     };
     struct zone_sum {
-        std::shared_ptr<const slot_usage_map> uses;
+        std::shared_ptr<const slot_usage_map> usage;
         entry_id relay;
-        instant heard{};
+        instant received_at{};
     };
-    struct told_use {
-        slot_usage_map uses;
+    struct sent_usage {
+        slot_usage_map usage;
         instant at{};
     };
 
-    void rank();
-    void tell_all(const slot_usage_map& own, instant now, std::vector<usage_message>& out);
-    void tell_relay(const slot_usage_map& own, instant now, std::vector<usage_message>& out);
+    void rank_relays();
+    void send_to_all(const slot_usage_map& own, instant now, std::vector<usage_message>& out);
+    void report_to_relay(const slot_usage_map& own, instant now, std::vector<usage_message>& out);
     std::optional<usage_message> sums_for(const entry_id& to, report& one,
                                           const slot_usage_map& all, instant now) const;
     void publish(const slot_usage_map& own, instant now, std::vector<usage_message>& out);
-    void tell_other_zones(const slot_usage_map& own_zone, instant now,
-                          std::vector<usage_message>& out);
+    void send_to_other_zones(const slot_usage_map& own_zone, instant now,
+                             std::vector<usage_message>& out);
     void choose_relay(instant now);
-    void forget_silent(instant now);
+    void expire_silent(instant now);
 
     entry_id self_;
     zone_id zone_;
     std::vector<fleet_gateway> others_;
     bool leaving_ = false;
-    std::map<zone_id, std::vector<entry_id>> ranked_; ///< best relay first, this gateway included
+    std::map<zone_id, std::vector<entry_id>>
+        ranked_; ///< in order of preference as relay, including this gateway
     entry_id relay_;
     instant relay_since_{};
-    instant relay_heard_{};
+    instant relay_received_at_{};
     std::map<entry_id, instant> avoided_until_; ///< relays that failed
     std::map<entry_id, report> reports_;
-    std::map<zone_id, zone_sum> zones_; ///< of the other zones
+    std::map<zone_id, zone_sum> zones_; ///< other zones
     slot_usage_map own_;
-    std::map<entry_id, told_use> told_all_;
-    told_use told_relay_;
-    told_use told_zones_;
+    std::map<entry_id, sent_usage> sent_to_all_;
+    sent_usage sent_to_relay_;
+    sent_usage sent_to_zones_;
     instant published_at_{};
 };
 
--- a/include/cassia/routes/error.h
+++ b/include/cassia/routes/error.h
@@ -6,13 +6,13 @@
 namespace cassia::routes {
 
 enum class errc {
-    unknown_service, ///< a route names a service that the table doesn't hold
+    unknown_service, ///< a route refers to a service that isn't in the table
     duplicate_route, ///< two routes with the same host and prefix
     no_weight,       ///< a route's weights add up to 0
     no_timeout,
-    bad_prefix, ///< doesn't begin and end with a slash
+    bad_prefix, ///< does not begin and end with a slash
     no_version,
-    bad_teams, ///< see teams::errc; the text says which
+    bad_teams, ///< the text is that of the teams::error
 };
 
 using error = layer_error<errc>;
--- a/include/cassia/routes/table.h
+++ b/include/cassia/routes/table.h
@@ -1,4 +1,4 @@
-/// The table of routes as requests are matched against it. Immutable, shared by those who use it.
+/// The compiled route table that requests are matched against. Immutable and shared.
 #pragma once
 
 #include "cassia/base/ids.h"
@@ -17,19 +17,19 @@
 
 class table {
 public:
-    /// Checks and compiles. Refuses a table that can't be obeyed as a whole.
+    /// Validates and compiles a table. A table with any invalid part is refused as a whole.
     static result<std::shared_ptr<const table>> compile(const schema::route_table& source);
 
-    /// The route with the longest prefix that begins `path`, or null.
+    /// The route of the host with the longest prefix of `path`, or null.
     const schema::route* match(std::string_view host, std::string_view path) const;
     const schema::route* find(const std::string& name) const;
     const schema::routed_service* service(const std::string& name) const;
-    /// Routes of one kind.
+    /// All routes of one kind.
     std::vector<const schema::route*> of_kind(schema::route::route_kind kind) const;
     std::uint64_t version() const { return source_.version(); }
     const schema::request_limits& limits() const { return source_.limits(); }
     const teams::team_table& teams() const { return teams_; }
-    /// Whether routes are for the teams alone, but for those that need no key.
+    /// Whether requests need a team's key, except on routes that need none.
     bool needs_keys() const { return source_.needs_keys(); }
 
 private:
@@ -41,8 +41,8 @@
     std::map<std::string, const schema::routed_service*> services_;
 };
 
-/// The service that serves one request of the route.
-/// \param draw 0 to 1; spreads requests over the targets by their weights.
-const std::string& choose_target(const schema::route& route, double draw);
+/// Selects the service for one request of the route.
+/// \param random_fraction 0 to 1; distributes requests over the targets by their weights.
+const std::string& choose_target(const schema::route& route, double random_fraction);
 
 } // namespace cassia::routes
--- a/include/cassia/teams/team_table.h
+++ b/include/cassia/teams/team_table.h
@@ -1,4 +1,4 @@
-/// Teams with their keys and quotas, as one version of the configuration has them. Immutable.
+/// Teams with their keys and quotas, from one version of the configuration. Immutable.
 #pragma once
 
 #include "cassia/base/ids.h"
@@ -14,7 +14,7 @@
 
 namespace cassia::teams {
 
-/// SHA-256 of a key, in lower-case hexadecimal. Keys themselves are kept nowhere.
+/// SHA-256 of a key, in lower-case hexadecimal. The keys themselves are not stored.
 using key_digest = string_id<struct key_digest_tag>;
 
 struct request_rate {
@@ -23,7 +23,7 @@
     friend bool operator==(const request_rate&, const request_rate&) = default;
 };
 
-/// A number of requests; parts of one add up.
+/// A number of requests, possibly fractional.
 struct request_count {
     double value = 0;
 
@@ -32,7 +32,7 @@
 
 struct quota {
     request_rate rate;   ///< 0: no limit
-    request_count burst; ///< above the rate at once
+    request_count burst; ///< requests admitted at once
 
     bool is_limited() const { return rate.per_second > 0; }
     friend bool operator==(const quota&, const quota&) = default;
@@ -41,23 +41,23 @@
 struct team {
     team_id id;
     std::vector<key_digest> keys;
-    std::optional<std::uint32_t> priority; ///< goes before the route's; 0 is the highest
+    std::optional<std::uint32_t> priority; ///< overrides the route's; 0 is the highest
     quota limit;
 };
 
 key_digest digest_of(std::string_view key);
-/// Enough of a digest to tell keys apart in a log.
+/// First digits of a digest, to tell keys apart in logs.
 std::string digest_prefix(const key_digest& digest);
 
 class team_table {
 public:
     team_table() = default;
-    /// Every fault of a list of teams.
+    /// Returns all errors in a list of teams.
     static std::vector<error> validate(const std::vector<team>& teams);
-    /// Refuses a list with a fault.
+    /// Fails with the first error of an invalid list.
     static result<team_table> create(std::vector<team> teams);
 
-    /// Null for an unknown key. Its duration tells nothing about known keys.
+    /// Null for an unknown key. The lookup time reveals nothing about known keys.
     const team* find_by_key(std::string_view key) const;
     const team* find(const team_id& id) const;
     const std::vector<team>& all() const { return teams_; }
@@ -65,7 +65,7 @@
 private:
     std::vector<team> teams_;
     std::map<team_id, std::size_t> by_id_;
-    /// By a keyed hash of the digest, so that no caller can choose where its key is looked for.
+    /// By a keyed hash of the digest, so that callers can't choose the bucket that is searched.
     std::unordered_map<std::string, std::size_t> by_key_;
 };
 
--- a/lib/policy/batch_scheduler.cpp
+++ b/lib/policy/batch_scheduler.cpp
@@ -6,12 +6,12 @@
 namespace cassia::policy {
 
 namespace {
-// Teams take turns in runs of this many items, so that a lease reads neighbouring bodies.
+// Items leased from one team before another gets its turn. Runs let a lease read adjacent bodies.
 constexpr std::uint32_t items_per_turn = 8;
-// With less than this left an item can't be on time even if it is short.
-constexpr std::uint64_t least_run_ms = 3000;
-// Part of the time that a job has; with less than that left its items are urgent.
-constexpr std::uint64_t urgent_part = 2;
+// With less time left than this, even a short item misses its deadline.
+constexpr std::uint64_t min_run_ms = 3000;
+// Items are urgent once less than 1/divisor of the time allotted to their job is left.
+constexpr std::uint64_t urgent_divisor = 2;
 } // namespace
 
 void batch_scheduler::set_weight(const team_id& team, double weight) {
@@ -23,49 +23,50 @@
     return found == weights_.end() ? 1.0 : found->second;
 }
 
-bool would_miss_deadline(std::uint64_t deadline, std::uint64_t at) {
-    return at != 0 && deadline != 0 && deadline < at + least_run_ms;
+bool would_miss_deadline(std::uint64_t deadline, std::uint64_t now_ms) {
+    return now_ms != 0 && deadline != 0 && deadline < now_ms + min_run_ms;
 }
 
-// On a loaded fleet items are interrupted by each wave of online requests. Kept out of the reserve
-// in between, those that have waited longest miss their deadline beside slots that nobody uses.
-bool is_urgent(std::uint64_t deadline, std::uint64_t due_ms, std::uint64_t at) {
-    return deadline != 0 && !would_miss_deadline(deadline, at) &&
-           deadline < at + due_ms / urgent_part;
+// In a loaded fleet each wave of online requests interrupts batch items. If old items were also
+// kept out of the online reserve between waves, they would miss their deadlines beside idle slots.
+bool is_urgent(std::uint64_t deadline, std::uint64_t allotted_ms, std::uint64_t now_ms) {
+    return deadline != 0 && !would_miss_deadline(deadline, now_ms) &&
+           deadline < now_ms + allotted_ms / urgent_divisor;
 }
 
-// Nearest deadline first, as long as it can be met. Once more waits than can be served, the nearest
-// are those just missed, and all jobs would be late one after the other.
-static bool is_more_urgent(const job_candidate& a, const job_candidate& b, std::uint64_t at) {
+// Earliest deadline first, among jobs that can still meet it. Under overload the earliest deadlines
+// are those just missed; serving these first would make every job late in turn.
+static bool goes_before(const job_candidate& a, const job_candidate& b, std::uint64_t now_ms) {
     const std::uint64_t never = UINT64_MAX;
-    return std::make_tuple(would_miss_deadline(a.deadline, at),
+    return std::make_tuple(would_miss_deadline(a.deadline, now_ms),
                            a.deadline == 0 ? never : a.deadline, a.created, a.job) <
-           std::make_tuple(would_miss_deadline(b.deadline, at),
+           std::make_tuple(would_miss_deadline(b.deadline, now_ms),
                            b.deadline == 0 ? never : b.deadline, b.created, b.job);
 }
 
 std::vector<lease_choice> batch_scheduler::choose(std::vector<job_candidate> candidates,
-                                                  std::uint32_t limit, std::uint64_t at) {
-    std::sort(
-        candidates.begin(), candidates.end(),
-        [at](const job_candidate& a, const job_candidate& b) { return is_more_urgent(a, b, at); });
+                                                  std::uint32_t limit, std::uint64_t now_ms) {
+    std::sort(candidates.begin(), candidates.end(),
+              [now_ms](const job_candidate& a, const job_candidate& b) {
+                  return goes_before(a, b, now_ms);
+              });
     std::map<team_id, std::vector<job_candidate*>> queues;
     for (job_candidate& candidate : candidates) {
         if (candidate.waiting > 0)
             queues[candidate.team].push_back(&candidate);
     }
-    // A team that comes back from a pause starts level with the others: time without work
-    // earns no claim on later work.
+    // A team that returns after a pause starts at the current virtual time: idle time earns no
+    // credit.
     for (const std::pair<const team_id, std::vector<job_candidate*>>& queue : queues) {
-        double& clock = clocks_[queue.first];
-        clock = std::max(clock, now_);
+        double& virtual_time = virtual_times_[queue.first];
+        virtual_time = std::max(virtual_time, virtual_now_);
     }
     std::map<job_id, std::uint32_t> chosen;
     std::vector<job_id> order;
     while (limit > 0 && !queues.empty()) {
         auto next =
             std::min_element(queues.begin(), queues.end(), [this](const auto& a, const auto& b) {
-                return clocks_.at(a.first) < clocks_.at(b.first);
+                return virtual_times_.at(a.first) < virtual_times_.at(b.first);
             });
         job_candidate& job = *next->second.front();
         const std::uint32_t items = std::min({limit, job.waiting, items_per_turn});
@@ -74,8 +75,8 @@
         chosen[job.job] += items;
         job.waiting -= items;
         limit -= items;
-        now_ = clocks_.at(next->first);
-        clocks_.at(next->first) += items / weight_of(next->first);
+        virtual_now_ = virtual_times_.at(next->first);
+        virtual_times_.at(next->first) += items / weight_of(next->first);
         if (job.waiting == 0)
             next->second.erase(next->second.begin());
         if (next->second.empty())
--- a/lib/policy/quota_enforcer.cpp
+++ b/lib/policy/quota_enforcer.cpp
@@ -10,24 +10,25 @@
 namespace {
 constexpr milliseconds heartbeat_interval(1000);
 constexpr milliseconds report_interval(20);
-// An answer takes two ways between zones and the time of a busy gateway.
+// An answer takes a round trip between zones and the response time of a busy gateway.
 constexpr milliseconds resend_after(150);
 constexpr milliseconds answer_timeout(400);
 constexpr milliseconds ask_timeout(250);
-constexpr milliseconds failed_owner_avoided(1000);
-// Two heartbeats and their resending.
-constexpr milliseconds open_lease(2500);
-// After a longer pause this process was frozen: that no answer came says nothing of the owners.
-constexpr milliseconds longest_pause(300);
-// The owner may change, or its rate.
-constexpr milliseconds longest_denial(500);
-constexpr std::uint32_t most_owners_asked = 2;
+constexpr milliseconds failed_owner_backoff(1000);
+// Two heartbeats with their retransmissions.
+constexpr milliseconds open_lease_duration(2500);
+// After a longer gap between polls this process was frozen: missing answers don't mean that owners
+// failed.
+constexpr milliseconds freeze_threshold(300);
+// Bounds a cached denial, as the owner or its rate may change.
+constexpr milliseconds max_denial(500);
+constexpr std::uint32_t max_owners_tried = 2;
 constexpr double us_per_s = 1e6;
 } // namespace
 
 quota_enforcer::quota_enforcer(entry_id self, std::uint64_t incarnation, quota_tolerance tolerance)
     : self_(std::move(self)), incarnation_(incarnation), ledger_(self_, incarnation, tolerance) {
-    rank();
+    rank_owners();
 }
 
 bool quota_enforcer::is_avoided(const entry_id& owner) const {
@@ -35,15 +36,15 @@
     return found != states_.end() && found->second.failed_at != instant();
 }
 
-// A square root of the fleet owns: an owner hears of all gateways and a gateway of all owners, and
-// both numbers grow alike. Every gateway ranks by the same hashes.
-void quota_enforcer::rank() {
-    std::vector<entry_id> able;
+// The number of owners is the square root of the fleet size. Each owner exchanges messages with all
+// gateways, and each gateway with all owners. All gateways rank by the same hashes, so they agree.
+void quota_enforcer::rank_owners() {
+    std::vector<entry_id> candidates;
     if (!leaving_)
-        able.push_back(self_);
+        candidates.push_back(self_);
     for (const fleet_gateway& one : others_) {
         if (!one.leaving)
-            able.push_back(one.id);
+            candidates.push_back(one.id);
     }
     const auto rank_by = [](std::vector<entry_id>& ids, const std::string& seed) {
         std::sort(ids.begin(), ids.end(), [&seed](const entry_id& a, const entry_id& b) {
@@ -51,15 +52,15 @@
                    std::make_pair(stable_hash(seed + b.str()), b);
         });
     };
-    rank_by(able, "");
+    rank_by(candidates, "");
     const std::size_t count =
-        static_cast<std::size_t>(std::ceil(std::sqrt(static_cast<double>(able.size()))));
-    able.resize(std::min(able.size(), count));
-    owners_ = able;
+        static_cast<std::size_t>(std::ceil(std::sqrt(static_cast<double>(candidates.size()))));
+    candidates.resize(std::min(candidates.size(), count));
+    owners_ = candidates;
     ranked_.clear();
     for (std::uint32_t shard = 0; shard < quota_shards; ++shard) {
-        rank_by(able, std::to_string(shard) + " ");
-        ranked_.push_back(able);
+        rank_by(candidates, std::to_string(shard) + " ");
+        ranked_.push_back(candidates);
     }
     std::map<entry_id, owner_state> known = std::move(states_);
     states_.clear();
@@ -67,13 +68,13 @@
         if (one != self_)
             states_[one] = std::move(known[one]);
     }
-    for (std::pair<const std::uint64_t, open_ask>& one : asks_) {
+    for (std::pair<const std::uint64_t, pending_ask>& one : asks_) {
         if (one.second.owner != self_ && states_.count(one.second.owner) == 0)
             one.second.owner = entry_id();
     }
 }
 
-// A gateway that reaches no owner goes by its own part of the quota.
+// A gateway that reaches no owner enforces its own share of the quota.
 const entry_id& quota_enforcer::owner_of(std::uint32_t shard) const {
     const std::vector<entry_id>& ranked = ranked_[shard];
     auto found = std::find_if(ranked.begin(), ranked.end(),
@@ -93,12 +94,12 @@
 }
 
 void quota_enforcer::set_gateways(const std::vector<fleet_gateway>& others, instant now) {
-    const bool first = !knows_fleet_;
-    knows_fleet_ = true;
+    const bool first = !has_gateway_list_;
+    has_gateway_list_ = true;
     if (!first && others == others_)
         return;
     others_ = others;
-    rank();
+    rank_owners();
     ledger_.set_fleet_size(others_.size() + 1);
     update_shards(now);
     redirect_asks(entry_id(), now);
@@ -112,20 +113,23 @@
 
 void quota_enforcer::leave(instant now) {
     leaving_ = true;
-    rank();
+    rank_owners();
     update_shards(now);
     redirect_asks(entry_id(), now);
 }
 
-bool quota_enforcer::admits_by_itself(const owner_state& owner, const team_id& team,
-                                      instant now) const {
+bool quota_enforcer::may_admit_locally(const owner_state& owner, const team_id& team,
+                                       instant now) const {
     auto reported = owner.totals.find(team);
-    const bool one_under_way = reported != owner.totals.end() && !reported->second.answered;
-    return !one_under_way && owner.open.count(team) > 0 && now - owner.answered_at < open_lease;
+    const bool has_unacknowledged =
+        reported != owner.totals.end() && !reported->second.acknowledged;
+    return !has_unacknowledged && owner.open.count(team) > 0 &&
+           now - owner.acknowledged_at < open_lease_duration;
 }
 
-// Until a token can be there again nobody is asked; each one rejected returns behind the last.
-std::optional<quota_decision> quota_enforcer::reject_known(const team_id& team, instant now) {
+// The owner isn't asked before a token can be available; callers rejected meanwhile get successive
+// retry times.
+std::optional<quota_decision> quota_enforcer::reject_from_denial(const team_id& team, instant now) {
     auto found = denials_.find(team);
     if (found == denials_.end())
         return std::nullopt;
@@ -151,7 +155,7 @@
     }
     decision.verdict = quota_verdict::rejected;
     decision.retry_after = answer.retry_after;
-    denials_[team] = {now + std::min(answer.next_token, longest_denial), now + answer.retry_after};
+    denials_[team] = {now + std::min(answer.next_token, max_denial), now + answer.retry_after};
     return decision;
 }
 
@@ -159,9 +163,9 @@
     auto quota = quotas_.find(team);
     if (quota == quotas_.end() || !quota->second.is_limited())
         return {};
-    if (std::optional<quota_decision> known = reject_known(team, now))
+    if (std::optional<quota_decision> known = reject_from_denial(team, now))
         return *known;
-    if (!knows_fleet_) {
+    if (!has_gateway_list_) {
         asks_[++last_ask_] = {team, entry_id(), now, 0};
         return {quota_verdict::pending, milliseconds(0), {}, last_ask_};
     }
@@ -169,12 +173,12 @@
     if (owner == self_)
         return decide(team, self_, ledger_.epoch(), ledger_.ask(team, now), now);
     owner_state& state = states_.at(owner);
-    if (admits_by_itself(state, team, now)) {
+    if (may_admit_locally(state, team, now)) {
         reported_totals& own = state.totals[team];
         own.totals.team = team;
         ++own.totals.admitted;
         own.sequence = 0;
-        own.answered = false;
+        own.acknowledged = false;
         return {quota_verdict::admitted, milliseconds(0), {team, owner, state.epoch}, 0};
     }
     asks_[++last_ask_] = {team, entry_id(), now, 0};
@@ -182,8 +186,8 @@
     return {quota_verdict::pending, milliseconds(0), {}, last_ask_};
 }
 
-bool quota_enforcer::send_ask(std::uint64_t id, open_ask& one, instant now) {
-    one.owner = one.tries < most_owners_asked ? owner_of(shard_of(one.team)) : self_;
+bool quota_enforcer::send_ask(std::uint64_t id, pending_ask& one, instant now) {
+    one.owner = one.tries < max_owners_tried ? owner_of(shard_of(one.team)) : self_;
     one.asked_at = now;
     ++one.tries;
     if (one.owner != self_) {
@@ -202,9 +206,9 @@
     }
 }
 
-void quota_enforcer::finish_ask(std::uint64_t id, const open_ask& one, quota_decision decision,
+void quota_enforcer::finish_ask(std::uint64_t id, const pending_ask& one, quota_decision decision,
                                 instant now) {
-    if (one.forgotten) {
+    if (one.cancelled) {
         refund(decision.grant, now);
         return;
     }
@@ -215,7 +219,7 @@
 void quota_enforcer::cancel_ask(std::uint64_t ask) {
     auto found = asks_.find(ask);
     if (found != asks_.end())
-        found->second.forgotten = true;
+        found->second.cancelled = true;
 }
 
 void quota_enforcer::refund(const quota_grant& grant, instant now) {
@@ -227,7 +231,7 @@
         return;
     }
     auto found = states_.find(grant.owner);
-    // Another epoch of the owner knows nothing of the token.
+    // In another epoch the owner has no record of the token.
     if (found == states_.end() || found->second.epoch != grant.epoch)
         return;
     reported_totals& own = found->second.totals[grant.team];
@@ -250,15 +254,15 @@
         owner.open.clear();
         owner.totals.clear();
     }
-    while (!owner.unanswered.empty() && owner.unanswered.front().sequence <= reply.sequence)
-        owner.unanswered.pop_front();
-    owner.answered_at = now;
+    while (!owner.unacknowledged.empty() && owner.unacknowledged.front().sequence <= reply.sequence)
+        owner.unacknowledged.pop_front();
+    owner.acknowledged_at = now;
     for (std::pair<const team_id, reported_totals>& one : owner.totals) {
         if (one.second.sequence != 0 && one.second.sequence <= reply.sequence)
-            one.second.answered = true;
+            one.second.acknowledged = true;
     }
     const bool trusted_again =
-        owner.failed_at != instant() && now - owner.failed_at >= failed_owner_avoided;
+        owner.failed_at != instant() && now - owner.failed_at >= failed_owner_backoff;
     if (trusted_again) {
         owner.failed_at = instant();
         update_shards(now);
@@ -269,7 +273,7 @@
         owner.open.insert(reply.open.begin(), reply.open.end());
     for (const quota_answer& one : reply.answers) {
         auto ask = asks_.find(one.ask);
-        // Asked elsewhere meanwhile, or the caller has left.
+        // Answered already, or asked elsewhere meanwhile.
         if (ask == asks_.end() || ask->second.owner != from)
             continue;
         if (one.open)
@@ -280,44 +284,44 @@
     }
 }
 
-void quota_enforcer::fail(const entry_id& owner, instant now) {
+void quota_enforcer::mark_failed(const entry_id& owner, instant now) {
     owner_state& state = states_.at(owner);
     state.failed_at = now;
     state.open.clear();
-    state.unanswered.clear();
+    state.unacknowledged.clear();
     state.asks.clear();
-    // Whether they arrived isn't known.
+    // Unknown whether the totals arrived: send them again.
     for (std::pair<const team_id, reported_totals>& one : state.totals)
         one.second.sequence = 0;
     update_shards(now);
     redirect_asks(owner, now);
 }
 
-void quota_enforcer::check_owners(instant now) {
+void quota_enforcer::fail_silent_owners(instant now) {
     for (const entry_id& owner : owners_) {
         auto found = states_.find(owner);
         if (found == states_.end() || found->second.failed_at != instant())
             continue;
-        const std::deque<sent_report>& unanswered = found->second.unanswered;
-        if (!unanswered.empty() && now - unanswered.front().at > answer_timeout)
-            fail(owner, now);
+        const std::deque<sent_report>& unacknowledged = found->second.unacknowledged;
+        if (!unacknowledged.empty() && now - unacknowledged.front().at > answer_timeout)
+            mark_failed(owner, now);
     }
 }
 
-void quota_enforcer::check_asks(instant now) {
-    std::set<entry_id> unanswering;
-    for (std::pair<const std::uint64_t, open_ask>& one : asks_) {
+void quota_enforcer::retry_timed_out_asks(instant now) {
+    std::set<entry_id> silent_owners;
+    for (std::pair<const std::uint64_t, pending_ask>& one : asks_) {
         if (now - one.second.asked_at <= ask_timeout)
             continue;
-        unanswering.insert(one.second.owner);
-        if (one.second.owner.empty()) // no list of gateways has come
-            one.second.tries = most_owners_asked;
+        silent_owners.insert(one.second.owner);
+        if (one.second.owner.empty()) // no list of gateways received yet: decide locally
+            one.second.tries = max_owners_tried;
     }
-    for (const entry_id& owner : unanswering) {
+    for (const entry_id& owner : silent_owners) {
         if (owner.empty())
             redirect_asks(owner, now);
         else
-            fail(owner, now);
+            mark_failed(owner, now);
     }
 }
 
@@ -328,21 +332,21 @@
         return false;
     if (!state.asks.empty() || state.reported_shards != state.shards)
         return true;
-    if (!state.unanswered.empty() && now - state.unanswered.back().at >= resend_after)
+    if (!state.unacknowledged.empty() && now - state.unacknowledged.back().at >= resend_after)
         return true;
     return now - state.reported_at >= report_interval &&
            std::any_of(state.totals.begin(), state.totals.end(),
                        [](const auto& one) { return one.second.sequence == 0; });
 }
 
-quota_report quota_enforcer::report_to(owner_state& state, instant now) const {
+quota_report quota_enforcer::build_report(owner_state& state, instant now) const {
     quota_report report;
     report.incarnation = incarnation_;
     report.sequence = ++state.sequence;
     report.epoch = state.epoch;
     report.shards = state.shards;
     const std::uint64_t oldest =
-        state.unanswered.empty() ? report.sequence : state.unanswered.front().sequence;
+        state.unacknowledged.empty() ? report.sequence : state.unacknowledged.front().sequence;
     for (std::pair<const team_id, reported_totals>& one : state.totals) {
         if (one.second.sequence == 0)
             one.second.sequence = report.sequence;
@@ -353,24 +357,24 @@
     state.reported_shards = report.shards;
     state.reported_at = now;
     if (state.failed_at == instant())
-        state.unanswered.push_back({report.sequence, now});
+        state.unacknowledged.push_back({report.sequence, now});
     return report;
 }
 
 quota_output quota_enforcer::poll(instant now) {
     quota_output out;
-    if (checked_at_ != instant() && now - checked_at_ > longest_pause) {
+    if (polled_at_ != instant() && now - polled_at_ > freeze_threshold) {
         for (std::pair<const entry_id, owner_state>& one : states_)
-            one.second.unanswered.clear();
-        for (std::pair<const std::uint64_t, open_ask>& one : asks_)
+            one.second.unacknowledged.clear();
+        for (std::pair<const std::uint64_t, pending_ask>& one : asks_)
             one.second.asked_at = now;
     }
-    checked_at_ = now;
-    check_asks(now);
-    check_owners(now);
+    polled_at_ = now;
+    retry_timed_out_asks(now);
+    fail_silent_owners(now);
     for (std::pair<const entry_id, owner_state>& one : states_) {
         if (is_report_due(one.second, now))
-            out.reports.emplace_back(one.first, report_to(one.second, now));
+            out.reports.emplace_back(one.first, build_report(one.second, now));
     }
     out.replies = ledger_.tick(now);
     for (std::pair<entry_id, quota_reply>& one : replies_)
--- a/lib/policy/quota_ledger.cpp
+++ b/lib/policy/quota_ledger.cpp
@@ -9,19 +9,19 @@
 
 namespace {
 constexpr milliseconds tick_interval(20);
-// Two reports that didn't come, and their resending.
+// Two missed heartbeat reports with their retransmissions.
 constexpr milliseconds reporter_timeout(2500);
-// After a longer pause this process was frozen, and others have granted in its place.
-constexpr milliseconds longest_pause(1000);
-// A team opens at a higher level than it closes at, by this part of its burst.
-constexpr double reopening_margin = 0.1;
-// Parts of the tolerance: for what was admitted before the start, and for what is under way.
-constexpr double tolerance_at_start = 0.75;
-constexpr double tolerance_under_way = 0.25;
-constexpr std::size_t most_announced = 32; // in one reply
-constexpr double longest_earned_s = 600;
-constexpr milliseconds longest_retry_after(10000);
-constexpr milliseconds retry_without_owner(400);
+// After a longer gap between ticks this process was frozen, and other owners have granted instead.
+constexpr milliseconds freeze_threshold(1000);
+// Hysteresis: a team reopens at a level higher by this fraction of its burst than it closes at.
+constexpr double reopen_margin = 0.1;
+// Fractions of the tolerance: for requests admitted before the start, and for unreported ones.
+constexpr double start_tolerance_fraction = 0.75;
+constexpr double unreported_tolerance_fraction = 0.25;
+constexpr std::size_t max_announced = 32; // per reply
+constexpr double max_earned_s = 600;
+constexpr milliseconds max_retry_after(10000);
+constexpr milliseconds retry_after_without_share(400);
 constexpr double us_per_s = 1e6;
 } // namespace
 
@@ -48,34 +48,36 @@
     update_shares(now);
 }
 
-void quota_ledger::limit(const team_id& team, account& one, instant now) {
+void quota_ledger::apply_limit(const team_id& team, account& one, instant now) {
     const teams::quota& quota = quotas_.at(team);
-    const double part = shares_.at(shard_of(team)).part;
-    // A team without a burst still has one request at a time.
-    const double capacity = std::max(1.0, quota.burst.value * part);
-    one.bucket.set_limit(quota.rate.per_second * part, capacity, now);
-    if (part > one.credited) {
-        one.bucket.refund((part - one.credited) * tolerance_at_start * tolerance_.max_excess(quota),
+    const double fraction = shares_.at(shard_of(team)).fraction;
+    // A team without a burst may still have one request at a time.
+    const double capacity = std::max(1.0, quota.burst.value * fraction);
+    one.bucket.set_limit(quota.rate.per_second * fraction, capacity, now);
+    if (fraction > one.credited_fraction) {
+        one.bucket.refund((fraction - one.credited_fraction) * start_tolerance_fraction *
+                              tolerance_.max_excess(quota),
                           now);
-        one.credited = part;
+        one.credited_fraction = fraction;
     }
     update_open(team, one, now);
 }
 
-// Each gateway may have one request under way that isn't reported yet, so the bucket holds a token
-// for each of them while the team is open.
+// Each gateway may have one request in flight that isn't reported yet, so while a team is open its
+// bucket must hold a token for each gateway.
 void quota_ledger::update_open(const team_id& team, account& one, instant now) {
-    const double part = shares_.at(shard_of(team)).part;
-    const double tolerated = tolerance_under_way * tolerance_.max_excess(quotas_.at(team));
-    const double unreported = (static_cast<double>(fleet_size_) - tolerated) * part;
-    const double margin = one.open ? 0 : one.bucket.capacity() * reopening_margin;
-    const bool open = part > 0 && one.bucket.level(now) >= std::max(unreported, 1.0) + margin;
+    const double fraction = shares_.at(shard_of(team)).fraction;
+    const double tolerated =
+        unreported_tolerance_fraction * tolerance_.max_excess(quotas_.at(team));
+    const double unreported = (static_cast<double>(fleet_size_) - tolerated) * fraction;
+    const double margin = one.open ? 0 : one.bucket.capacity() * reopen_margin;
+    const bool open = fraction > 0 && one.bucket.level(now) >= std::max(unreported, 1.0) + margin;
     if (one.open && !open)
         newly_closed_.push_back(team);
     one.open = open;
 }
 
-// Null for a team that has no limit.
+// Returns null for a team without a limit.
 quota_ledger::account* quota_ledger::find_account(const team_id& team, instant now) {
     auto quota = quotas_.find(team);
     if (quota == quotas_.end() || !quota->second.is_limited())
@@ -84,47 +86,48 @@
     if (found == accounts_.end()) {
         const shard_share& share = shares_.at(shard_of(team));
         const double earned = share.earned_s * quota->second.rate.per_second;
-        found = accounts_.emplace(team, account{token_bucket(earned, now), share.credited}).first;
-        limit(team, found->second, now);
+        found = accounts_.emplace(team, account{token_bucket(earned, now), share.credited_fraction})
+                    .first;
+        apply_limit(team, found->second, now);
     }
     return &found->second;
 }
 
-// What gateways admitted is charged even where it exceeds the quota: the debt holds up later ones.
+// Requests that gateways admitted are charged even above the quota; the debt delays later ones.
 void quota_ledger::apply_totals(reporter& from, const quota_totals& reported, instant now) {
-    quota_totals& known = from.totals[reported.team];
+    quota_totals& previous = from.totals[reported.team];
     account* one = find_account(reported.team, now);
     if (one != nullptr) {
-        if (reported.admitted > known.admitted)
-            one->bucket.take(static_cast<double>(reported.admitted - known.admitted), now);
-        if (reported.returned > known.returned)
-            one->bucket.refund(static_cast<double>(reported.returned - known.returned), now);
+        if (reported.admitted > previous.admitted)
+            one->bucket.take(static_cast<double>(reported.admitted - previous.admitted), now);
+        if (reported.returned > previous.returned)
+            one->bucket.refund(static_cast<double>(reported.returned - previous.returned), now);
         update_open(reported.team, *one, now);
     }
-    known = {reported.team, std::max(known.admitted, reported.admitted),
-             std::max(known.returned, reported.returned)};
+    previous = {reported.team, std::max(previous.admitted, reported.admitted),
+                std::max(previous.returned, reported.returned)};
 }
 
 quota_reply quota_ledger::receive(const entry_id& from, const quota_report& report, instant now) {
-    reporter& known = reporters_[from];
+    reporter& sender = reporters_[from];
     quota_reply reply;
     reply.epoch = epoch_;
-    if (report.incarnation != known.incarnation)
-        known = {};
+    if (report.incarnation != sender.incarnation)
+        sender = {};
     if (report.epoch != epoch_)
-        known.announced_open.clear();
-    known.incarnation = report.incarnation;
-    known.last_seen = now;
-    // A report that was overtaken says nothing new, but its asks still wait for their answers.
-    if (report.sequence > known.sequence) {
-        known.sequence = report.sequence;
-        if (known.shards != report.shards) {
-            known.shards = report.shards;
+        sender.announced_open.clear();
+    sender.incarnation = report.incarnation;
+    sender.last_seen = now;
+    // A report received out of order has outdated totals, but its asks still need answers.
+    if (report.sequence > sender.sequence) {
+        sender.sequence = report.sequence;
+        if (sender.shards != report.shards) {
+            sender.shards = report.shards;
             update_shares(now);
         }
         for (const quota_totals& one : report.totals) {
             if (report.epoch == epoch_)
-                apply_totals(known, one, now);
+                apply_totals(sender, one, now);
         }
     }
     for (const quota_totals& one : report.totals) {
@@ -136,8 +139,8 @@
         reply.answers.push_back(ask(one.team, now));
         reply.answers.back().ask = one.id;
     }
-    announce_open(known, reply);
-    reply.sequence = known.sequence;
+    announce_open(sender, reply);
+    reply.sequence = sender.sequence;
     return reply;
 }
 
@@ -155,20 +158,21 @@
         answer.open = one->open;
         return answer;
     }
-    answer.next_token = one->bucket.time_to_next(now, longest_retry_after);
-    if (shares_.at(shard_of(team)).part == 0) {
-        // Asked by a gateway that goes by another owner and waits for its answer.
+    answer.next_token = one->bucket.time_to_next(now, max_retry_after);
+    if (shares_.at(shard_of(team)).fraction == 0) {
+        // No gateway contributes its share here: the asking one has another owner, which has not
+        // answered it.
         answer.next_token = milliseconds(0);
-        answer.retry_after = retry_without_owner;
+        answer.retry_after = retry_after_without_share;
         return answer;
     }
-    // Those that are rejected return one after the other, as tokens come.
+    // Rejected callers get successive retry times, at the rate at which tokens arrive.
     const double rate = std::max(quotas_.at(team).rate.per_second, 1e-3);
     const microseconds spacing(static_cast<std::int64_t>(us_per_s / rate));
-    one->promised_until =
-        std::min(std::max(one->promised_until, now + answer.next_token - spacing) + spacing,
-                 now + longest_retry_after);
-    answer.retry_after = std::chrono::ceil<milliseconds>(one->promised_until - now);
+    one->next_retry_at =
+        std::min(std::max(one->next_retry_at, now + answer.next_token - spacing) + spacing,
+                 now + max_retry_after);
+    answer.retry_after = std::chrono::ceil<milliseconds>(one->next_retry_at - now);
     return answer;
 }
 
@@ -177,46 +181,46 @@
         one->bucket.refund(1, now);
 }
 
-// Each gateway asks one owner about a team at a time and brings its part of the rate along, so
-// owners that don't know of each other grant the rate once together.
+// Each gateway asks one owner about a team at a time and contributes 1/fleet size of the rate to
+// it, so owners that don't know of each other together grant the rate only once.
 void quota_ledger::update_shares(instant now) {
-    std::array<std::size_t, quota_shards> users{};
-    const auto count = [&users](shard_set shards) {
+    std::array<std::size_t, quota_shards> asking_gateways{};
+    const auto count = [&asking_gateways](shard_set shards) {
         for (std::uint32_t shard = 0; shard < quota_shards; ++shard)
-            users.at(shard) += has_shard(shards, shard) ? 1 : 0;
+            asking_gateways.at(shard) += has_shard(shards, shard) ? 1 : 0;
     };
     count(own_shards_);
     for (const std::pair<const entry_id, reporter>& one : reporters_)
         count(one.second.shards);
-    if (users == users_ && shared_by_ == fleet_size_)
+    if (asking_gateways == asking_gateways_ && shares_fleet_size_ == fleet_size_)
         return;
-    users_ = users;
-    shared_by_ = fleet_size_;
+    asking_gateways_ = asking_gateways;
+    shares_fleet_size_ = fleet_size_;
     for (std::uint32_t shard = 0; shard < quota_shards; ++shard) {
-        shares_.at(shard).part =
-            std::min(1.0, static_cast<double>(users.at(shard)) / static_cast<double>(fleet_size_));
+        shares_.at(shard).fraction = std::min(1.0, static_cast<double>(asking_gateways.at(shard)) /
+                                                       static_cast<double>(fleet_size_));
     }
     update_accounts(now);
     for (shard_share& one : shares_)
-        one.credited = std::max(one.credited, one.part);
+        one.credited_fraction = std::max(one.credited_fraction, one.fraction);
 }
 
 void quota_ledger::update_accounts(instant now) {
     std::erase_if(accounts_, [this](const std::pair<const team_id, account>& one) {
-        return quotas_.count(one.first) == 0 || shares_.at(shard_of(one.first)).part == 0;
+        return quotas_.count(one.first) == 0 || shares_.at(shard_of(one.first)).fraction == 0;
     });
     for (const std::pair<const team_id, teams::quota>& one : quotas_) {
-        if (shares_.at(shard_of(one.first)).part == 0)
+        if (shares_.at(shard_of(one.first)).fraction == 0)
             continue;
         if (account* found = find_account(one.first, now))
-            limit(one.first, *found, now);
+            apply_limit(one.first, *found, now);
     }
 }
 
-// A gateway that knows it beforehand needn't ask about its first request of a team.
+// A gateway that knows a team to be open beforehand admits its first request without asking.
 void quota_ledger::announce_open(reporter& to, quota_reply& reply) const {
     for (const std::pair<const team_id, account>& one : accounts_) {
-        if (reply.open.size() >= most_announced)
+        if (reply.open.size() >= max_announced)
             return;
         if (one.second.open && has_shard(to.shards, shard_of(one.first)) &&
             to.announced_open.insert(one.first).second)
@@ -224,22 +228,22 @@
     }
 }
 
-// What others have granted meanwhile isn't known here.
-void quota_ledger::restart(instant now) {
+// What other owners granted meanwhile isn't known, so all state is dropped under a new epoch.
+void quota_ledger::reset(instant now) {
     ++epoch_;
     reporters_.clear();
     accounts_.clear();
     newly_closed_.clear();
     shares_ = {};
-    users_ = {};
+    asking_gateways_ = {};
     update_shares(now);
 }
 
 std::vector<std::pair<entry_id, quota_reply>> quota_ledger::tick(instant now) {
     if (newly_closed_.empty() && now - ticked_at_ < tick_interval)
         return {};
-    if (ticked_at_ != instant() && now - ticked_at_ > longest_pause)
-        restart(now);
+    if (ticked_at_ != instant() && now - ticked_at_ > freeze_threshold)
+        reset(now);
     const double passed_s =
         ticked_at_ == instant() ? 0 : static_cast<double>((now - ticked_at_).count()) / us_per_s;
     ticked_at_ = now;
@@ -251,7 +255,7 @@
         update_open(one.first, one.second, now);
     for (shard_share& one : shares_)
         one.earned_s =
-            one.part == 0 ? 0 : std::min(longest_earned_s, one.earned_s + one.part * passed_s);
+            one.fraction == 0 ? 0 : std::min(max_earned_s, one.earned_s + one.fraction * passed_s);
     std::vector<std::pair<entry_id, quota_reply>> out;
     if (newly_closed_.empty())
         return out;
--- a/lib/policy/request_queue.cpp
+++ b/lib/policy/request_queue.cpp
@@ -6,14 +6,14 @@
 
 namespace cassia::policy {
 
-// A team that joins stands level with the one served least: it neither waits for what others had
-// before, nor is owed anything for it.
+// A team that joins starts level with the team served least: it neither has to wait for the others
+// to catch up, nor gets credit for the time before.
 void request_queue::add(const queued_request& request) {
-    if (turns_.count(request.team) == 0) {
+    if (served_by_team_.count(request.team) == 0) {
         auto least =
-            std::min_element(turns_.begin(), turns_.end(),
+            std::min_element(served_by_team_.begin(), served_by_team_.end(),
                              [](const auto& a, const auto& b) { return a.second < b.second; });
-        turns_[request.team] = least == turns_.end() ? 0 : least->second;
+        served_by_team_[request.team] = least == served_by_team_.end() ? 0 : least->second;
     }
     waiting_[request.id] = request;
 }
@@ -22,7 +22,7 @@
     auto found = waiting_.find(id);
     if (found == waiting_.end())
         return;
-    ++turns_[found->second.team];
+    ++served_by_team_[found->second.team];
     remove(id);
 }
 
@@ -32,18 +32,19 @@
         return;
     const team_id team = found->second.team;
     waiting_.erase(found);
-    const bool waits = std::any_of(waiting_.begin(), waiting_.end(),
-                                   [&team](const auto& one) { return one.second.team == team; });
-    if (!waits)
-        turns_.erase(team);
+    const bool still_waiting =
+        std::any_of(waiting_.begin(), waiting_.end(),
+                    [&team](const auto& one) { return one.second.team == team; });
+    if (!still_waiting)
+        served_by_team_.erase(team);
 }
 
-// Oldest first would give each slot to the request whose target is just missed, once the line is
-// longer than the target: all would be late. A late one waits until none on time does.
+// First-come, first-served would make every request late once the queue is longer than the target:
+// each slot would go to a request that has just missed it. So late requests wait for those on time.
 std::optional<exchange_id> request_queue::next(const service_id& service, instant now) const {
     const auto rank = [this, now](const queued_request& one) {
-        return std::make_tuple(now > one.target_deadline, one.priority, turns_.at(one.team),
-                               one.target_deadline, one.id);
+        return std::make_tuple(now > one.target_deadline, one.priority,
+                               served_by_team_.at(one.team), one.target_deadline, one.id);
     };
     const queued_request* first = nullptr;
     for (const std::pair<const exchange_id, queued_request>& one : waiting_) {
@@ -58,12 +59,12 @@
 }
 
 std::vector<exchange_id> request_queue::expired(instant now) const {
-    std::vector<exchange_id> out;
+    std::vector<exchange_id> expired_ids;
     for (const std::pair<const exchange_id, queued_request>& one : waiting_) {
         if (now > one.second.expires_at)
-            out.push_back(one.first);
+            expired_ids.push_back(one.first);
     }
-    return out;
+    return expired_ids;
 }
 
 std::vector<service_id> request_queue::services() const {
--- a/lib/policy/route_table_wait.cpp
+++ b/lib/policy/route_table_wait.cpp
@@ -5,32 +5,34 @@
 namespace cassia::policy {
 
 namespace {
-// A group that starts anew as a whole mostly has a leader, and the gateways its table, within this.
-constexpr milliseconds routes_awaited(200);
-// Callers wait for a third of the time they have left at most.
-constexpr int longest_part = 3;
-// Part of its time that a caller who has none to come back is kept for.
-constexpr int latest_percent = 80;
-// A control group that starts anew as a whole elects its leader within 0.25 to 0.5 s, and its table
-// is with the gateways some 20 ms later.
-constexpr milliseconds routes_return(600);
-// All callers of the first half second come back in this time, one after the other.
-constexpr milliseconds spread(500);
+// After a restart of the whole control group, gateways mostly have the route table within this
+// time.
+constexpr milliseconds max_wait(200);
+// A caller is told to wait for at most 1/divisor of its remaining time.
+constexpr int retry_wait_divisor = 3;
+// Part of the remaining time for which a request is held whose caller has no time for a retry.
+constexpr int no_retry_wait_percent = 80;
+// A control group that restarts as a whole elects its leader within 0.25 to 0.5 s, and gateways
+// have its table some 20 ms later.
+constexpr milliseconds table_expected_after(600);
+// The retries of callers refused in the first half second are spread over this time.
+constexpr milliseconds retry_spread(500);
 } // namespace
 
-milliseconds route_table_wait(milliseconds left, bool may_come_back) {
-    return may_come_back ? std::min(routes_awaited, left) : left * latest_percent / 100;
+milliseconds route_table_wait(milliseconds remaining, bool can_retry) {
+    return can_retry ? std::min(max_wait, remaining) : remaining * no_retry_wait_percent / 100;
 }
 
-// Without a time callers would come back at once, be turned away again, and have no try left when
-// the table is there.
-std::optional<milliseconds> route_table_retry_after(milliseconds left, double draw) {
-    const milliseconds longest = left / longest_part;
-    if (longest < routes_return)
+// Without a Retry-After, callers would retry at once, be refused again, and have no attempt left
+// when the table arrives.
+std::optional<milliseconds> route_table_retry_after(milliseconds remaining,
+                                                    double random_fraction) {
+    const milliseconds max_retry_after = remaining / retry_wait_divisor;
+    if (max_retry_after < table_expected_after)
         return std::nullopt;
-    const milliseconds room = std::min(spread, longest - routes_return);
-    return routes_return +
-           milliseconds(static_cast<std::int64_t>(draw * static_cast<double>(room.count())));
+    const milliseconds jitter = std::min(retry_spread, max_retry_after - table_expected_after);
+    return table_expected_after + milliseconds(static_cast<std::int64_t>(
+                                      random_fraction * static_cast<double>(jitter.count())));
 }
 
 } // namespace cassia::policy
--- a/lib/policy/strikes.cpp
+++ b/lib/policy/strikes.cpp
@@ -20,7 +20,7 @@
     return static_cast<std::size_t>(
         std::count_if(found->second.begin(), found->second.end(),
                       [this, now](const std::pair<const endpoint_id, instant>& one) {
-                          return now - one.second < memory_;
+                          return now - one.second < retention_;
                       }));
 }
 
@@ -32,10 +32,11 @@
     return count(request, now) >= quarantine_strikes;
 }
 
-// What crashes an endpoint mostly does so at once, so the blame goes to those it had not begun to
-// answer; among these to the suspect, if there is just one. Without this the innocent requests
-// beside a poisonous one collect as many strikes as it does, and are quarantined with it. An entry
-// that has none of these waits for the word of the one that has.
+// A request that crashes an endpoint mostly does so before its first output, so the crash is
+// attributed to the requests without output, or to the suspect if there is just one among these.
+// Otherwise innocent requests beside a poisonous one would collect as many strikes and be
+// quarantined with it. An entry whose requests all had output defers, as the cause is likely at
+// another entry.
 crash_attribution strike_list::attribute_crash(const std::vector<running_request>& running,
                                                instant now) const {
     crash_attribution blame;
@@ -67,7 +68,7 @@
     std::vector<strike> out;
     for (const std::pair<const fingerprint, std::map<endpoint_id, instant>>& one : strikes_) {
         for (const std::pair<const endpoint_id, instant>& hit : one.second) {
-            if (now - hit.second < memory_)
+            if (now - hit.second < retention_)
                 out.push_back({one.first, hit.first, hit.second});
         }
     }
--- a/lib/policy/usage_exchange.cpp
+++ b/lib/policy/usage_exchange.cpp
@@ -8,27 +8,27 @@
 namespace cassia::policy {
 
 namespace {
-// With more others than this a gateway reports to a relay in place of telling each of them.
-constexpr std::size_t most_told_directly = 20;
-// What didn't change is repeated this often, so that silence shows a failure.
+// With more peers than this, gateways use relays instead of sending to each peer.
+constexpr std::size_t max_mesh_peers = 20;
+// Unchanged usage is repeated this often, so that silence indicates a failure.
 constexpr milliseconds repeat_interval(500);
 constexpr milliseconds sums_repeat_interval(250);
-// Two repeated sums that didn't come.
-constexpr milliseconds relay_failed_after(600);
-// A gateway that failed leaves the list of those that live within this time.
-constexpr milliseconds failed_relay_avoided(5000);
-constexpr milliseconds reporter_forgotten_after(1500);
-// Time that a relay takes for each gateway that reports to it, at least, between two sums.
+// Two missed repetitions of a sum.
+constexpr milliseconds relay_timeout(600);
+// Within this time a failed gateway has been removed from the list of live gateways.
+constexpr milliseconds failed_relay_backoff(5000);
+constexpr milliseconds reporter_timeout(1500);
+// Minimum interval between two publications of a relay, per reporting gateway: bounds its load.
 constexpr milliseconds publish_time_per_reporter(1);
-// Other zones are used only while the own one has no free slot.
+// Sums go to other zones less often, as these use them only while they have no free slot.
 constexpr milliseconds zones_interval(200);
-// Two, so that a zone whose relay has just failed still hears of the others.
-constexpr std::size_t relays_told_in_each_zone = 2;
+// Two, so that a zone whose relay has just failed still receives the sums of other zones.
+constexpr std::size_t relays_per_zone = 2;
 } // namespace
 
 usage_exchange::usage_exchange(entry_id self, zone_id zone)
     : self_(std::move(self)), zone_(std::move(zone)) {
-    rank();
+    rank_relays();
 }
 
 entry_id usage_exchange::zone_key(const zone_id& zone) {
@@ -36,7 +36,7 @@
 }
 
 bool usage_exchange::uses_relays() const {
-    return others_.size() > most_told_directly;
+    return others_.size() > max_mesh_peers;
 }
 
 std::optional<entry_id> usage_exchange::relay() const {
@@ -49,17 +49,17 @@
     if (others == others_)
         return;
     others_ = std::move(others);
-    rank();
+    rank_relays();
 }
 
 void usage_exchange::leave() {
     leaving_ = true;
-    rank();
+    rank_relays();
 }
 
-// Every gateway ranks by the same hashes, so those that know the same list agree on the relay, and
-// one that joins or leaves moves the relay only if it is the first.
-void usage_exchange::rank() {
+// All gateways rank by the same hashes, so those with the same list agree on the relay. A gateway
+// that joins or leaves changes the relay only if it ranks first.
+void usage_exchange::rank_relays() {
     ranked_.clear();
     std::vector<entry_id>& own_zone = ranked_[zone_];
     if (!leaving_)
@@ -76,10 +76,10 @@
     }
 }
 
-void usage_exchange::receive_report(const entry_id& from, slot_usage_map uses, instant now) {
+void usage_exchange::receive_report(const entry_id& from, slot_usage_map usage, instant now) {
     report& one = reports_[from];
-    one.uses = std::move(uses);
-    one.heard = now;
+    one.usage = std::move(usage);
+    one.received_at = now;
 }
 
 bool usage_exchange::receive_sums(const entry_id& relay, const zone_id& zone,
@@ -87,7 +87,7 @@
     if (zone == zone_) {
         if (relay != relay_)
             return false;
-        relay_heard_ = now;
+        relay_received_at_ = now;
         return true;
     }
     auto found = zones.find(zone);
@@ -97,26 +97,26 @@
     return true;
 }
 
-void usage_exchange::forget_silent(instant now) {
+void usage_exchange::expire_silent(instant now) {
     std::erase_if(reports_, [now](const std::pair<const entry_id, report>& one) {
-        return now - one.second.heard > reporter_forgotten_after;
+        return now - one.second.received_at > reporter_timeout;
     });
     std::erase_if(zones_, [now](const std::pair<const zone_id, zone_sum>& one) {
-        return now - one.second.heard > reporter_forgotten_after;
+        return now - one.second.received_at > reporter_timeout;
     });
     std::erase_if(avoided_until_, [now](const std::pair<const entry_id, instant>& one) {
         return now >= one.second;
     });
 }
 
-// A relay that falls silent is avoided. So is this gateway itself if it takes itself for the relay
-// and nobody reports to it: the others have seen it fail, or don't know it yet.
+// A silent relay is avoided for a time. So is this gateway itself if it ranks first but receives no
+// reports: the others have seen it fail, or don't have it in their list yet.
 void usage_exchange::choose_relay(instant now) {
     const std::vector<entry_id>& ranked = ranked_.at(zone_);
     const bool is_silent = relay_ == self_ ? reports_.empty() && ranked.size() > 1
-                                           : now - relay_heard_ > relay_failed_after;
-    if (!relay_.empty() && is_silent && now - relay_since_ > relay_failed_after)
-        avoided_until_[relay_] = now + failed_relay_avoided;
+                                           : now - relay_received_at_ > relay_timeout;
+    if (!relay_.empty() && is_silent && now - relay_since_ > relay_timeout)
+        avoided_until_[relay_] = now + failed_relay_backoff;
     const auto chosen = std::find_if(ranked.begin(), ranked.end(), [this](const entry_id& one) {
         return avoided_until_.count(one) == 0;
     });
@@ -125,46 +125,47 @@
         return;
     relay_ = next;
     relay_since_ = now;
-    told_relay_ = told_use();
+    sent_to_relay_ = sent_usage();
 }
 
 std::vector<usage_message> usage_exchange::poll(const slot_usage_map& own, instant now) {
     std::vector<usage_message> out;
     own_ = own;
-    forget_silent(now);
+    expire_silent(now);
     if (!uses_relays()) {
-        tell_all(own, now, out);
+        send_to_all(own, now, out);
         return out;
     }
     choose_relay(now);
     if (relay_ != self_)
-        tell_relay(own, now, out);
-    // Whoever is reported to publishes: those that report may have seen a failure first.
+        report_to_relay(own, now, out);
+    // A gateway that receives reports publishes even if it isn't the relay by its own view: the
+    // reporters may have detected the relay's failure first.
     if (relay_ == self_ || !reports_.empty())
         publish(own, now, out);
     return out;
 }
 
-void usage_exchange::tell_all(const slot_usage_map& own, instant now,
-                              std::vector<usage_message>& out) {
+void usage_exchange::send_to_all(const slot_usage_map& own, instant now,
+                                 std::vector<usage_message>& out) {
     for (const fleet_gateway& one : others_) {
-        told_use& told = told_all_[one.id];
-        if (told.uses == own && now - told.at < repeat_interval)
+        sent_usage& sent = sent_to_all_[one.id];
+        if (sent.usage == own && now - sent.at < repeat_interval)
             continue;
-        told = {own, now};
+        sent = {own, now};
         out.push_back({one.id, usage_message::content::own_use, own, {}});
     }
 }
 
-void usage_exchange::tell_relay(const slot_usage_map& own, instant now,
-                                std::vector<usage_message>& out) {
-    if (told_relay_.uses == own && now - told_relay_.at < repeat_interval)
+void usage_exchange::report_to_relay(const slot_usage_map& own, instant now,
+                                     std::vector<usage_message>& out) {
+    if (sent_to_relay_.usage == own && now - sent_to_relay_.at < repeat_interval)
         return;
-    told_relay_ = {own, now};
+    sent_to_relay_ = {own, now};
     out.push_back({relay_, usage_message::content::report, own, {}});
 }
 
-static slot_usage_map without(slot_usage_map sum, const slot_usage_map& part) {
+static slot_usage_map subtract_usage(slot_usage_map sum, const slot_usage_map& part) {
     for (const std::pair<const endpoint_id, slot_usage>& one : part) {
         auto found = sum.find(one.first);
         found->second.online -= one.second.online;
@@ -176,22 +177,22 @@
     return sum;
 }
 
-// Another zone's sum is sent once it was told anew; its relay repeats it.
+// Another zone's sum is sent only when a new one was received; that zone's relay repeats it.
 std::optional<usage_message> usage_exchange::sums_for(const entry_id& to, report& one,
                                                       const slot_usage_map& all,
                                                       instant now) const {
     usage_message message{to, usage_message::content::sums, {}, {}};
     for (const std::pair<const zone_id, zone_sum>& zone : zones_) {
-        std::shared_ptr<const slot_usage_map>& told = one.told_zones[zone.first];
-        if (told == zone.second.uses)
+        std::shared_ptr<const slot_usage_map>& sent = one.sent_zones[zone.first];
+        if (sent == zone.second.usage)
             continue;
-        told = zone.second.uses;
-        message.zones[zone.first] = told;
+        sent = zone.second.usage;
+        message.zones[zone.first] = sent;
     }
-    slot_usage_map own_zone = without(all, one.uses);
-    if (own_zone != one.told_own_zone || now - one.told_at >= sums_repeat_interval) {
-        one.told_own_zone = own_zone;
-        one.told_at = now;
+    slot_usage_map own_zone = subtract_usage(all, one.usage);
+    if (own_zone != one.sent_own_zone || now - one.sent_at >= sums_repeat_interval) {
+        one.sent_own_zone = own_zone;
+        one.sent_at = now;
         message.zones[zone_] = std::make_shared<slot_usage_map>(std::move(own_zone));
     }
     if (message.zones.empty())
@@ -208,7 +209,7 @@
     published_at_ = now;
     slot_usage_map others;
     for (const std::pair<const entry_id, report>& one : reports_)
-        add_usage(others, one.second.uses);
+        add_usage(others, one.second.usage);
     slot_usage_map all = others;
     add_usage(all, own);
     for (std::pair<const entry_id, report>& one : reports_) {
@@ -220,20 +221,21 @@
     usage_message to_self{self_, usage_message::content::sums, {}, {}};
     to_self.zones[zone_] = std::make_shared<slot_usage_map>(std::move(others));
     out.push_back(std::move(to_self));
-    tell_other_zones(all, now, out);
+    send_to_other_zones(all, now, out);
 }
 
-void usage_exchange::tell_other_zones(const slot_usage_map& own_zone, instant now,
-                                      std::vector<usage_message>& out) {
-    const milliseconds interval = own_zone == told_zones_.uses ? repeat_interval : zones_interval;
-    if (now - told_zones_.at < interval)
+void usage_exchange::send_to_other_zones(const slot_usage_map& own_zone, instant now,
+                                         std::vector<usage_message>& out) {
+    const milliseconds interval =
+        own_zone == sent_to_zones_.usage ? repeat_interval : zones_interval;
+    if (now - sent_to_zones_.at < interval)
         return;
-    told_zones_ = {own_zone, now};
+    sent_to_zones_ = {own_zone, now};
     const std::shared_ptr<const slot_usage_map> shared = std::make_shared<slot_usage_map>(own_zone);
     for (const std::pair<const zone_id, std::vector<entry_id>>& zone : ranked_) {
         if (zone.first == zone_)
             continue;
-        const std::size_t count = std::min(relays_told_in_each_zone, zone.second.size());
+        const std::size_t count = std::min(relays_per_zone, zone.second.size());
         for (std::size_t i = 0; i < count; ++i)
             out.push_back({zone.second[i], usage_message::content::sums, {}, {{zone_, shared}}});
     }
@@ -241,25 +243,25 @@
 
 std::optional<yield_target> usage_exchange::choose_yield_target(const endpoint_id& endpoint,
                                                                 bool own_zone_only) {
-    const auto batch_at = [&endpoint](const slot_usage_map& uses) -> std::uint32_t {
-        auto found = uses.find(endpoint);
-        return found == uses.end() ? 0 : found->second.batch;
+    const auto batch_items_at = [&endpoint](const slot_usage_map& usage) -> std::uint32_t {
+        auto found = usage.find(endpoint);
+        return found == usage.end() ? 0 : found->second.batch;
     };
-    auto most = std::max_element(reports_.begin(), reports_.end(),
-                                 [&batch_at](const auto& a, const auto& b) {
-                                     return batch_at(a.second.uses) < batch_at(b.second.uses);
-                                 });
-    const std::uint32_t reported = most == reports_.end() ? 0 : batch_at(most->second.uses);
-    if (batch_at(own_) > reported)
+    auto most = std::max_element(
+        reports_.begin(), reports_.end(), [&batch_items_at](const auto& a, const auto& b) {
+            return batch_items_at(a.second.usage) < batch_items_at(b.second.usage);
+        });
+    const std::uint32_t reported = most == reports_.end() ? 0 : batch_items_at(most->second.usage);
+    if (batch_items_at(own_) > reported)
         return yield_target{self_, true};
     if (reported > 0) {
-        --most->second.uses[endpoint].batch;
+        --most->second.usage[endpoint].batch;
         return yield_target{most->first, true};
     }
     if (own_zone_only)
         return std::nullopt;
     for (const std::pair<const zone_id, zone_sum>& one : zones_) {
-        if (batch_at(*one.second.uses) > 0)
+        if (batch_items_at(*one.second.usage) > 0)
             return yield_target{one.second.relay, false};
     }
     return std::nullopt;
--- a/lib/routes/table.cpp
+++ b/lib/routes/table.cpp
@@ -14,7 +14,7 @@
         [](std::uint64_t sum, const schema::route_target& one) { return sum + one.weight(); });
 }
 
-static error fault(errc code, const schema::route& route, const std::string& text) {
+static error make_error(errc code, const schema::route& route, const std::string& text) {
     return error{code, "route " + route.name() + ": " + text};
 }
 
@@ -43,18 +43,19 @@
     for (const schema::route& route : compiled->source_.routes()) {
         const std::string& prefix = route.path_prefix();
         if (prefix.empty() || prefix.front() != '/' || prefix.back() != '/')
-            return failure(fault(errc::bad_prefix, route, "prefix " + prefix));
+            return failure(make_error(errc::bad_prefix, route, "prefix " + prefix));
         if (route.timeout_ms() == 0)
-            return failure(fault(errc::no_timeout, route, "timeout of 0"));
+            return failure(make_error(errc::no_timeout, route, "timeout of 0"));
         if (weight_sum(route) == 0)
-            return failure(fault(errc::no_weight, route, "weights add up to 0"));
+            return failure(make_error(errc::no_weight, route, "weights add up to 0"));
         for (const schema::route_target& target : route.targets()) {
             if (compiled->services_.count(target.service()) == 0)
-                return failure(fault(errc::unknown_service, route, "service " + target.service()));
+                return failure(
+                    make_error(errc::unknown_service, route, "service " + target.service()));
         }
         const std::string host = boost::algorithm::to_lower_copy(route.host());
         if (!compiled->by_host_[host].emplace(prefix, &route).second)
-            return failure(fault(errc::duplicate_route, route, host + prefix + " is taken"));
+            return failure(make_error(errc::duplicate_route, route, host + prefix + " is taken"));
         compiled->by_name_[route.name()] = &route;
     }
     teams::result<teams::team_table> teams = teams::team_table::create(read_teams(source));
@@ -64,7 +65,7 @@
     return std::shared_ptr<const table>(std::move(compiled));
 }
 
-// The host as the caller names it may carry a port; routes don't.
+// The Host header of a request may include a port; the hosts of routes don't.
 static std::string host_name(std::string_view host) {
     return boost::algorithm::to_lower_copy(std::string(host.substr(0, host.rfind(':'))));
 }
@@ -103,8 +104,8 @@
     return out;
 }
 
-const std::string& choose_target(const schema::route& route, double draw) {
-    double left = draw * static_cast<double>(weight_sum(route));
+const std::string& choose_target(const schema::route& route, double random_fraction) {
+    double left = random_fraction * static_cast<double>(weight_sum(route));
     for (const schema::route_target& target : route.targets()) {
         left -= target.weight();
         if (left < 0)
