--- a/unittests/policy/policy_test.cpp
+++ b/unittests/policy/policy_test.cpp
@@ -1,4 +1,4 @@
-// The decisions: routing, admission, retries, strikes, fair shares, batch slots.
+// Routing, admission, retry budget, strikes, batch scheduling and batch slots.
 
 #include "cassia/policy/admission.h"
 #include "cassia/policy/batch_scheduler.h"
@@ -29,7 +29,7 @@
     return facts;
 }
 
-pick_request for_model() {
+pick_request model_request() {
     return {{service_id("model"), "", ""}, 0, false, {}};
 }
 
@@ -39,120 +39,122 @@
 
 } // namespace
 
-TEST_CASE("the own zone goes first, others help when it is full", "[policy]") {
-    router one = make_router();
-    one.set_endpoints({engine("near", "a", 2), engine("far", "b", 2)});
+TEST_CASE("the own zone is preferred, other zones are used when it is full", "[policy]") {
+    router test_router = make_router();
+    test_router.set_endpoints({engine("near", "a", 2), engine("far", "b", 2)});
     for (int i = 0; i < 2; ++i) {
-        const std::optional<pick> chosen = one.choose(for_model(), start);
+        const std::optional<pick> chosen = test_router.choose(model_request(), start);
         REQUIRE(chosen->endpoint == endpoint_id("near"));
-        one.record_start(chosen->endpoint, 0, false);
+        test_router.record_start(chosen->endpoint, 0, false);
     }
-    CHECK(one.choose(for_model(), start)->reason == pick_reason::other_zone);
-    one.record_end(endpoint_id("near"), false, call_result::finished, start);
-    CHECK(one.choose(for_model(), start)->endpoint == endpoint_id("near"));
+    CHECK(test_router.choose(model_request(), start)->reason == pick_reason::other_zone);
+    test_router.record_end(endpoint_id("near"), false, call_result::finished, start);
+    CHECK(test_router.choose(model_request(), start)->endpoint == endpoint_id("near"));
 }
 
-TEST_CASE("versions and adapters that an endpoint lacks aren't sent to it", "[policy]") {
-    router one = make_router();
-    one.set_endpoints({engine("near", "a", 2)});
-    CHECK(one.can_serve({service_id("model"), "v1", ""}));
-    CHECK_FALSE(one.can_serve({service_id("model"), "v2", ""}));
-    CHECK_FALSE(one.can_serve({service_id("model"), "", "es"}));
-    CHECK_FALSE(one.can_serve({service_id("other"), "", ""}));
+TEST_CASE("an endpoint serves only the versions and adapters that it has", "[policy]") {
+    router test_router = make_router();
+    test_router.set_endpoints({engine("near", "a", 2)});
+    CHECK(test_router.can_serve({service_id("model"), "v1", ""}));
+    CHECK_FALSE(test_router.can_serve({service_id("model"), "v2", ""}));
+    CHECK_FALSE(test_router.can_serve({service_id("model"), "", "es"}));
+    CHECK_FALSE(test_router.can_serve({service_id("other"), "", ""}));
 }
 
-// Story: a parent's call waits behind clinic summaries. The engine was full of batch items, so the
-// call was held back until one of them ended.
+// Guards against an online call that waits for a batch item to end because batch items fill the
+// engine.
 TEST_CASE("slots that batch holds count as free for online calls", "[policy]") {
-    router one = make_router();
-    one.set_endpoints({engine("near", "a", 4)});
-    one.set_own_batch(endpoint_id("near"), 4, 0);
-    const std::optional<pick> chosen = one.choose(for_model(), start);
+    router test_router = make_router();
+    test_router.set_endpoints({engine("near", "a", 4)});
+    test_router.set_own_batch(endpoint_id("near"), 4, 0);
+    const std::optional<pick> chosen = test_router.choose(model_request(), start);
     REQUIRE(chosen);
     CHECK(chosen->items_to_yield == 1);
 }
 
-TEST_CASE("an endpoint that fails in a row is left out, but never most of them", "[policy]") {
-    router one = make_router();
-    one.set_endpoints({engine("x", "a", 9), engine("y", "a", 9), engine("z", "a", 9)});
+TEST_CASE("endpoints are ejected after consecutive failures, but not all of a service",
+          "[policy]") {
+    router test_router = make_router();
+    test_router.set_endpoints({engine("x", "a", 9), engine("y", "a", 9), engine("z", "a", 9)});
     for (const char* name : {"x", "y", "z"}) {
         for (int i = 0; i < 3; ++i) {
-            one.record_start(endpoint_id(name), 0, false);
-            one.record_end(endpoint_id(name), false, call_result::failed, start);
+            test_router.record_start(endpoint_id(name), 0, false);
+            test_router.record_end(endpoint_id(name), false, call_result::failed, start);
         }
     }
-    CHECK(one.ejected(start).size() == 2);
-    CHECK(one.ejected(start + std::chrono::seconds(60)).empty());
+    CHECK(test_router.ejected(start).size() == 2);
+    CHECK(test_router.ejected(start + std::chrono::seconds(60)).empty());
 }
 
-TEST_CASE("a slow endpoint gets fewer calls", "[policy]") {
-    router one = make_router();
-    one.set_endpoints({engine("fast", "a", 1000), engine("slow", "a", 1000)});
-    one.record_first_token(endpoint_id("fast"), microseconds(5000), start);
-    one.record_first_token(endpoint_id("slow"), microseconds(50000), start);
+TEST_CASE("a slow endpoint gets fewer calls than a fast one", "[policy]") {
+    router test_router = make_router();
+    test_router.set_endpoints({engine("fast", "a", 1000), engine("slow", "a", 1000)});
+    test_router.record_first_token(endpoint_id("fast"), microseconds(5000), start);
+    test_router.record_first_token(endpoint_id("slow"), microseconds(50000), start);
     std::map<std::string, int> picked;
     for (int i = 0; i < 1000; ++i)
-        ++picked[one.choose(for_model(), start)->endpoint.str()];
+        ++picked[test_router.choose(model_request(), start)->endpoint.str()];
     CHECK(picked["fast"] > 2 * picked["slow"]);
 }
 
-TEST_CASE("a known prefix draws the call, a suspect avoids another", "[policy]") {
-    router one = make_router();
-    one.set_endpoints({engine("x", "a", 100), engine("y", "a", 100)});
-    one.record_start(endpoint_id("x"), 42, true);
-    pick_request wanted = for_model();
+TEST_CASE("a call prefers an endpoint with its prefix, a suspect avoids another suspect",
+          "[policy]") {
+    router test_router = make_router();
+    test_router.set_endpoints({engine("x", "a", 100), engine("y", "a", 100)});
+    test_router.record_start(endpoint_id("x"), 42, true);
+    pick_request wanted = model_request();
     wanted.prefix = 42;
-    CHECK(one.choose(wanted, start)->endpoint == endpoint_id("x"));
+    CHECK(test_router.choose(wanted, start)->endpoint == endpoint_id("x"));
     wanted.suspect = true;
-    CHECK(one.choose(wanted, start)->endpoint == endpoint_id("y"));
+    CHECK(test_router.choose(wanted, start)->endpoint == endpoint_id("y"));
 }
 
-TEST_CASE("a rate is kept over all entries together", "[policy]") {
-    rate_limiter one;
-    one.configure(100, 10);
+TEST_CASE("a rate limit applies to all entries together", "[policy]") {
+    rate_limiter limiter;
+    limiter.configure(100, 10);
     int passed = 0;
     for (int ms = 0; ms < 2000; ++ms)
-        passed += one.admit(start + milliseconds(ms)).count() == 0 ? 1 : 0;
+        passed += limiter.admit(start + milliseconds(ms)).count() == 0 ? 1 : 0;
     CHECK(passed >= 205);
     CHECK(passed <= 211);
-    CHECK(one.own_rate(start + milliseconds(2000)) == Approx(100).epsilon(0.4));
-    one.set_remote_rate(90);
+    CHECK(limiter.own_rate(start + milliseconds(2000)) == Approx(100).epsilon(0.4));
+    limiter.set_remote_rate(90);
     passed = 0;
     for (int ms = 2000; ms < 4000; ++ms)
-        passed += one.admit(start + milliseconds(ms)).count() == 0 ? 1 : 0;
+        passed += limiter.admit(start + milliseconds(ms)).count() == 0 ? 1 : 0;
     CHECK(passed <= 22);
-    CHECK(one.admit(start + milliseconds(4000)).count() <= 100);
+    CHECK(limiter.admit(start + milliseconds(4000)).count() <= 100);
 }
 
-// Story: one team sends a thousand calls at once, and everybody else's time out behind them.
-TEST_CASE("a greedy team waits behind itself", "[policy]") {
-    fair_queue room(1000);
+// Guards against a burst of one team that makes the calls of all others time out behind it.
+TEST_CASE("a team with many requests delays only its own", "[policy]") {
+    fair_queue queue(1000);
     std::uint64_t id = 0;
     for (int i = 0; i < 500; ++i)
-        room.add({exchange_id(++id), team_id("greedy"), 1, start + milliseconds(1000)});
-    const exchange_id modest(++id);
-    REQUIRE(room.add({modest, team_id("modest"), 1, start + milliseconds(1000)}));
+        queue.add({exchange_id(++id), team_id("greedy"), 1, start + milliseconds(1000)});
+    const exchange_id small_request(++id);
+    REQUIRE(queue.add({small_request, team_id("modest"), 1, start + milliseconds(1000)}));
     std::vector<exchange_id> order;
-    room.offer([&order](exchange_id one) {
+    queue.offer([&order](exchange_id one) {
         order.push_back(one);
         return order.size() <= 3;
     });
-    CHECK(std::find(order.begin(), order.begin() + 3, modest) != order.begin() + 3);
+    CHECK(std::find(order.begin(), order.begin() + 3, small_request) != order.begin() + 3);
 }
 
-TEST_CASE("a full room has a place for each team's share", "[policy]") {
-    fair_queue room(100);
+TEST_CASE("a queue filled by one team still accepts another team's share", "[policy]") {
+    fair_queue queue(100);
     std::uint64_t id = 0;
     int taken = 0;
     for (int i = 0; i < 300; ++i)
-        taken += room.add({exchange_id(++id), team_id("greedy"), 1, start}) ? 1 : 0;
+        taken += queue.add({exchange_id(++id), team_id("greedy"), 1, start}) ? 1 : 0;
     CHECK(taken == 100);
-    CHECK(room.add({exchange_id(++id), team_id("modest"), 1, start}));
-    CHECK(room.expired(start).size() == 101);
-    CHECK(room.size() == 0);
+    CHECK(queue.add({exchange_id(++id), team_id("modest"), 1, start}));
+    CHECK(queue.expired(start).size() == 101);
+    CHECK(queue.size() == 0);
 }
 
-TEST_CASE("retries stay a part of the requests", "[policy]") {
+TEST_CASE("retries stay within their fraction of the requests", "[policy]") {
     retry_budget budget(0.1, 5);
     int retried = 0;
     for (int i = 0; i < 1000; ++i) {
@@ -163,9 +165,9 @@
     CHECK(retried >= 99);
 }
 
-// Story: one request crashes an engine, its caller sends it again, and the innocent calls beside
-// it are quarantined with it.
-TEST_CASE("a suspect alone is blamed for the second death", "[policy]") {
+// Guards against innocent calls that are quarantined because they ran beside a request that crashed
+// an engine and was sent again.
+TEST_CASE("a second crash is attributed to the only suspect", "[policy]") {
     strike_list list(std::chrono::minutes(10));
     const fingerprint poison("poison");
     const fingerprint innocent("innocent");
@@ -183,22 +185,23 @@
     CHECK_FALSE(list.is_quarantined(poison, start + std::chrono::minutes(11)));
 }
 
-TEST_CASE("those that were being answered are blamed last", "[policy]") {
+TEST_CASE("a crash is attributed to requests with output only if there are no others", "[policy]") {
     strike_list list(std::chrono::minutes(10));
     const fingerprint poison("poison");
     const fingerprint innocent("innocent");
-    const crash_attribution here = list.attribute_crash({{poison, false}, {innocent, true}}, start);
-    CHECK(here.immediate == std::vector<fingerprint>{poison});
-    CHECK(here.deferred.empty());
-    const crash_attribution elsewhere = list.attribute_crash({{innocent, true}}, start);
-    CHECK(elsewhere.immediate.empty());
-    CHECK(elsewhere.deferred == std::vector<fingerprint>{innocent});
+    const crash_attribution with_silent_request =
+        list.attribute_crash({{poison, false}, {innocent, true}}, start);
+    CHECK(with_silent_request.immediate == std::vector<fingerprint>{poison});
+    CHECK(with_silent_request.deferred.empty());
+    const crash_attribution all_answering = list.attribute_crash({{innocent, true}}, start);
+    CHECK(all_answering.immediate.empty());
+    CHECK(all_answering.deferred == std::vector<fingerprint>{innocent});
     list.add({poison, endpoint_id("x"), start});
     CHECK(list.has_strike_since(endpoint_id("x"), start));
     CHECK_FALSE(list.has_strike_since(endpoint_id("x"), start + milliseconds(1)));
 }
 
-TEST_CASE("batch items are shared by weight, nearest deadline first", "[policy]") {
+TEST_CASE("batch items are leased by team weight, earliest deadline first", "[policy]") {
     batch_scheduler schedule;
     schedule.set_weight(team_id("heavy"), 3);
     schedule.set_weight(team_id("light"), 1);
@@ -222,7 +225,7 @@
     CHECK(urgent[0].job == job_id("soon"));
 }
 
-TEST_CASE("batch shrinks when it slows the first token, and grows back", "[policy]") {
+TEST_CASE("batch slots shrink while batch slows the first token, and grow back", "[policy]") {
     batch_slot_controller slots({0.05, 0.9, 1.05});
     instant now = start;
     CHECK(slots.allowed_slots(16, 0, now) == 15);
--- a/unittests/policy/quota_simulation.h
+++ b/unittests/policy/quota_simulation.h
@@ -1,4 +1,4 @@
-/// Gateways in virtual time that keep teams' quotas, for tests.
+/// Simulation of gateways that enforce quotas, in virtual time.
 #pragma once
 
 #include "cassia/policy/quota_enforcer.h"
@@ -32,27 +32,27 @@
     return team_id("t" + std::to_string(i));
 }
 
-inline teams::quota quota_of(double rate, double burst) {
+inline teams::quota make_quota(double rate, double burst) {
     return {{rate}, {burst}};
 }
 
-/// Traffic that goes up and down as that of offices does: 2.4 s of waves, 3.4 s of calm.
+/// Load factor of bursty office traffic: 2.4 s of waves after 3.4 s of calm.
 inline double wave(double at_s) {
     constexpr double period_s = 5.8;
     constexpr double calm_s = 3.4;
     return std::fmod(at_s, period_s) < calm_s ? 0.383 : 1.87;
 }
 
-/// What became of one team's requests.
-struct team_record {
+/// Outcome of one team's requests.
+struct team_outcome {
     std::deque<instant> admitted;
-    std::size_t all = 0;
-    std::size_t wrongly_rejected = 0; ///< an exact count over all gateways would have admitted them
+    std::size_t total = 0;
+    std::size_t wrongly_rejected = 0; ///< though a single bucket for all gateways had admitted them
     std::size_t rejected = 0;
     std::size_t asked = 0;
-    token_bucket exact;
+    token_bucket exact_bucket;
 
-    /// Most requests in any window beyond what the quota allows.
+    /// Most requests admitted in any window, less what the quota allows; negative if below.
     double excess(const teams::quota& quota) const {
         double most = 0;
         std::size_t first = 0;
@@ -65,13 +65,14 @@
     }
 };
 
-/// Gateways whose messages take some ms.
+/// Gateways with message delays of 2 to 12 ms.
 class fleet {
 public:
     struct gateway {
         std::unique_ptr<quota_enforcer> gate;
         instant frozen_until{};
-        std::deque<std::pair<entry_id, quota_report>> held_reports; ///< came while it was frozen
+        std::deque<std::pair<entry_id, quota_report>>
+            held_reports; ///< received, but not processed yet
         std::deque<std::pair<entry_id, quota_reply>> held_replies;
     };
 
@@ -90,16 +91,16 @@
             std::make_unique<quota_enforcer>(gateway_name(i), ++incarnations_, tolerance);
         gateways[i].gate->set_quotas(quotas_, now);
         std::erase_if(pending_, [i](const auto& one) { return one.first.first == i; });
-        list_one(i);
+        update_list(i);
     }
-    /// Takes a gateway out of the list, or back in.
-    void list(std::size_t i, bool lives) {
-        if (lives)
+    /// Removes a gateway from the list of live gateways, or adds it.
+    void set_listed(std::size_t i, bool is_listed) {
+        if (is_listed)
             unlisted_.erase(i);
         else
             unlisted_.insert(i);
         for (std::size_t k = 0; k < gateways.size(); ++k)
-            list_one(k);
+            update_list(k);
     }
     void set_quota(const team_id& team, const teams::quota& quota) {
         quotas_[team] = quota;
@@ -109,21 +110,21 @@
     }
 
     void request(std::size_t i, const team_id& team) {
-        team_record& of = outcomes[team];
-        ++of.all;
-        const bool exactly = of.exact.level(now) >= 1;
-        if (exactly)
-            of.exact.take(1, now);
+        team_outcome& outcome = outcomes[team];
+        ++outcome.total;
+        const bool exact_admits = outcome.exact_bucket.level(now) >= 1;
+        if (exact_admits)
+            outcome.exact_bucket.take(1, now);
         const quota_decision decision = gateways[i].gate->admit(team, now);
         if (decision.verdict == quota_verdict::pending) {
-            ++of.asked;
-            pending_[{i, decision.ask}] = {team, exactly, now};
+            ++outcome.asked;
+            pending_[{i, decision.ask}] = {team, exact_admits, now};
             return;
         }
-        note(team, decision, exactly);
+        record_decision(team, decision, exact_admits);
     }
 
-    /// Passes time; \p each_step makes the load.
+    /// Advances time; \p each_step generates the load.
     void advance(
         milliseconds time, const std::function<void()>& each_step = [] {}) {
         for (const instant end = now + time; now < end; now += step) {
@@ -131,13 +132,13 @@
             deliver();
             for (std::size_t i = 0; i < gateways.size(); ++i) {
                 if (now >= gateways[i].frozen_until)
-                    run(i);
+                    poll_gateway(i);
             }
         }
     }
 
-    /// Sends a team's requests to gateways drawn from the first `spread`.
-    void load(const team_id& team, double per_second, std::size_t spread) {
+    /// Sends a team's requests, as a Poisson process, to random gateways among the first `spread`.
+    void offer_load(const team_id& team, double per_second, std::size_t spread) {
         std::poisson_distribution<int> draw(per_second * static_cast<double>(step.count()) / 1000);
         for (int left = draw(random_); left > 0; --left) {
             const std::size_t i = random_() % spread;
@@ -158,11 +159,10 @@
     }
 
     std::vector<gateway> gateways;
-    std::map<team_id, team_record> outcomes;
+    std::map<team_id, team_outcome> outcomes;
     instant now = instant(std::chrono::seconds(1000));
-    std::function<bool(std::size_t from, std::size_t to)> passes = [](std::size_t, std::size_t) {
-        return true;
-    };
+    std::function<bool(std::size_t from, std::size_t to)> is_connected =
+        [](std::size_t, std::size_t) { return true; };
     std::size_t messages = 0;
     quota_tolerance tolerance;
     milliseconds longest_wait{0};
@@ -170,7 +170,7 @@
 private:
     struct pending_request {
         team_id team;
-        bool exactly = false;
+        bool exact_admits = false;
         instant at{};
     };
     struct in_flight {
@@ -183,10 +183,10 @@
 
     void set_exact(const team_id& team) {
         const teams::quota& quota = quotas_.at(team);
-        outcomes[team].exact.set_limit(quota.rate.per_second, std::max(1.0, quota.burst.value),
-                                       now);
+        outcomes[team].exact_bucket.set_limit(quota.rate.per_second,
+                                              std::max(1.0, quota.burst.value), now);
     }
-    void list_one(std::size_t i) {
+    void update_list(std::size_t i) {
         std::vector<fleet_gateway> others;
         for (std::size_t k = 0; k < gateways.size(); ++k) {
             if (k != i && unlisted_.count(k) == 0)
@@ -195,28 +195,28 @@
         if (gateways[i].gate)
             gateways[i].gate->set_gateways(others, now);
     }
-    void note(const team_id& team, const quota_decision& decision, bool exactly) {
-        team_record& of = outcomes[team];
+    void record_decision(const team_id& team, const quota_decision& decision, bool exact_admits) {
+        team_outcome& outcome = outcomes[team];
         if (decision.verdict == quota_verdict::admitted) {
-            of.admitted.push_back(now);
+            outcome.admitted.push_back(now);
             return;
         }
-        ++of.rejected;
-        of.wrongly_rejected += exactly ? 1 : 0;
+        ++outcome.rejected;
+        outcome.wrongly_rejected += exact_admits ? 1 : 0;
     }
-    void post(std::size_t from, const entry_id& to, std::optional<quota_report> report,
+    void send(std::size_t from, const entry_id& to, std::optional<quota_report> report,
               std::optional<quota_reply> reply) {
         const std::size_t target = std::stoul(to.str().substr(1));
         ++messages;
-        if (!passes(from, target))
+        if (!is_connected(from, target))
             return;
         std::uniform_int_distribution<int> delay(2, 12);
-        flying_.push_back({now + milliseconds(delay(random_)), from, target, std::move(report),
-                           std::move(reply)});
+        in_flight_.push_back({now + milliseconds(delay(random_)), from, target, std::move(report),
+                              std::move(reply)});
     }
     void deliver() {
         std::vector<in_flight> due;
-        std::erase_if(flying_, [this, &due](in_flight& one) {
+        std::erase_if(in_flight_, [this, &due](in_flight& one) {
             if (one.at > now)
                 return false;
             due.push_back(std::move(one));
@@ -230,7 +230,7 @@
                 target.held_replies.emplace_back(gateway_name(one.from), std::move(*one.reply));
         }
     }
-    void run(std::size_t i) {
+    void poll_gateway(std::size_t i) {
         gateway& one = gateways[i];
         while (!one.held_reports.empty()) {
             one.gate->receive(one.held_reports.front().first, one.held_reports.front().second, now);
@@ -242,9 +242,9 @@
         }
         quota_output out = one.gate->poll(now);
         for (auto& report : out.reports)
-            post(i, report.first, std::move(report.second), std::nullopt);
+            send(i, report.first, std::move(report.second), std::nullopt);
         for (auto& reply : out.replies)
-            post(i, reply.first, std::nullopt, std::move(reply.second));
+            send(i, reply.first, std::nullopt, std::move(reply.second));
         for (const quota_decision& decision : out.decisions) {
             auto found = pending_.find({i, decision.ask});
             if (found == pending_.end())
@@ -252,7 +252,7 @@
             if (one.frozen_until < found->second.at)
                 longest_wait = std::max(
                     longest_wait, std::chrono::duration_cast<milliseconds>(now - found->second.at));
-            note(found->second.team, decision, found->second.exactly);
+            record_decision(found->second.team, decision, found->second.exact_admits);
             pending_.erase(found);
         }
     }
@@ -261,7 +261,7 @@
     std::mt19937_64 random_;
     std::uint64_t incarnations_ = 0;
     std::set<std::size_t> unlisted_;
-    std::vector<in_flight> flying_;
+    std::vector<in_flight> in_flight_;
     std::map<std::pair<std::size_t, std::uint64_t>, pending_request> pending_;
 };
 
--- a/unittests/routes/table_test.cpp
+++ b/unittests/routes/table_test.cpp
@@ -1,4 +1,4 @@
-// Which route serves a request, and which tables are refused.
+// Route matching, table validation and weighted targets.
 
 #include "cassia/routes/table.h"
 
@@ -45,7 +45,7 @@
 
 } // namespace
 
-TEST_CASE("the longest prefix that begins the path wins", "[routes]") {
+TEST_CASE("the route with the longest prefix of the path matches", "[routes]") {
     const std::shared_ptr<const table> compiled = table::compile(sample()).value();
     CHECK(name_of(compiled->match("shop.example", "/a/b/c")) == "deep");
     CHECK(name_of(compiled->match("shop.example", "/a/b/")) == "deep");
@@ -56,9 +56,9 @@
     CHECK(name_of(compiled->match("other.example", "/a/b/c")) == "none");
 }
 
-TEST_CASE("a table that can't be obeyed as a whole is refused", "[routes]") {
+TEST_CASE("a table with any invalid route is refused", "[routes]") {
     schema::route_table table = sample();
-    SECTION("a route names a service that isn't there") {
+    SECTION("a route refers to an unknown service") {
         table.mutable_routes(0)->mutable_targets(0)->set_service("nobody");
         CHECK(refusal(table) == errc::unknown_service);
     }
@@ -66,21 +66,21 @@
         add_route(table, "again", "/a/b/", "model").set_host("Shop.Example");
         CHECK(refusal(table) == errc::duplicate_route);
     }
-    SECTION("weights add up to nothing") {
+    SECTION("weights add up to 0") {
         table.mutable_routes(1)->mutable_targets(0)->set_weight(0);
         CHECK(refusal(table) == errc::no_weight);
     }
-    SECTION("no time at all") {
+    SECTION("a timeout of 0") {
         table.mutable_routes(1)->set_timeout_ms(0);
         CHECK(refusal(table) == errc::no_timeout);
     }
-    SECTION("a prefix without its last slash") {
+    SECTION("a prefix without a trailing slash") {
         table.mutable_routes(1)->set_path_prefix("/a/b");
         CHECK(refusal(table) == errc::bad_prefix);
     }
 }
 
-TEST_CASE("targets get their weights' share, and none without weight", "[routes]") {
+TEST_CASE("targets are selected in proportion to their weights, never with weight 0", "[routes]") {
     schema::route_table table = sample();
     schema::route& route = *table.mutable_routes(0);
     route.mutable_targets(0)->set_weight(90);
--- a/unittests/teams/team_table_test.cpp
+++ b/unittests/teams/team_table_test.cpp
@@ -1,4 +1,4 @@
-// Teams are found by their keys, and lists that can't be obeyed are refused.
+// Lookup of teams by key, and validation of lists of teams.
 
 #include "cassia/teams/team_table.h"
 
@@ -29,7 +29,7 @@
     const result<team_table> made = team_table::create(std::move(teams));
     REQUIRE(!made);
     INFO(made.error().text);
-    // Whoever reads the error finds the team by it.
+    // The text must begin with the team, so that an operator can find it.
     CHECK(made.error().text.find("team") == 0);
     return made.error().code;
 }
@@ -40,7 +40,7 @@
 
 } // namespace
 
-TEST_CASE("each key of a team finds it, and no other text does", "[teams]") {
+TEST_CASE("a team is found by each of its keys and by no other text", "[teams]") {
     const team_table table = team_table::create({make_team("a", {"k1", "k2"}),
                                                  make_team("b", {"k3"}), make_team("c", {})})
                                  .value();
@@ -54,21 +54,21 @@
     CHECK(name_of(table.find(team_id("d"))) == "none");
 }
 
-TEST_CASE("a list of teams that can't be obeyed is refused as a whole", "[teams]") {
+TEST_CASE("a list with any invalid team is refused", "[teams]") {
     SECTION("two teams with one key") {
         CHECK(fault_of({make_team("a", {"k1"}), make_team("b", {"k2", "k1"})}) ==
               errc::duplicate_key);
     }
-    SECTION("a name twice") {
+    SECTION("two teams with one name") {
         CHECK(fault_of({make_team("a", {"k1"}), make_team("a", {"k2"})}) == errc::duplicate_team);
     }
-    SECTION("no name") {
+    SECTION("an empty name") {
         CHECK(fault_of({make_team("", {"k1"})}) == errc::bad_name);
     }
     SECTION("an empty key") {
         CHECK(fault_of({make_team("a", {""})}) == errc::bad_key);
     }
-    SECTION("a key in place of its digest") {
+    SECTION("a key instead of its digest") {
         team one = make_team("a", {});
         one.keys.emplace_back("secret");
         CHECK(fault_of({one}) == errc::bad_key);
@@ -78,18 +78,18 @@
         one.limit.rate.per_second = -1;
         CHECK(fault_of({one}) == errc::bad_quota);
     }
-    SECTION("a burst that is no number") {
+    SECTION("a burst that is not a number") {
         team one = make_team("a", {"k1"});
         one.limit.burst.value = std::numeric_limits<double>::quiet_NaN();
         CHECK(fault_of({one}) == errc::bad_quota);
     }
 }
 
-TEST_CASE("a key that one team names twice is one key", "[teams]") {
+TEST_CASE("a key listed twice by one team is accepted", "[teams]") {
     CHECK(team_table::create({make_team("a", {"k1", "k1"})}).has_value());
 }
 
-TEST_CASE("an error names teams and never a key", "[teams]") {
+TEST_CASE("an error text contains no key and no digest", "[teams]") {
     const result<team_table> made =
         team_table::create({make_team("a", {"secret"}), make_team("b", {"secret"})});
     REQUIRE(!made);
@@ -97,7 +97,7 @@
     CHECK(made.error().text.find(digest_of("secret").str()) == std::string::npos);
 }
 
-TEST_CASE("random lists are refused or obeyed, and keys stay with their teams", "[teams]") {
+TEST_CASE("random lists are refused, or each key finds its team", "[teams]") {
     std::mt19937 random(7);
     for (int round = 0; round < 300; ++round) {
         std::vector<team> list;
