--- a/include/cassia/entry/online_calls.h
+++ b/include/cassia/entry/online_calls.h
@@ -6,7 +6,7 @@
 #include "cassia/entry/front_task.h"
 #include "cassia/entry/request_text.h"
 #include "cassia/policy/admission.h"
-#include "cassia/policy/batch_slot_controller.h"
+#include "cassia/policy/batch_slots.h"
 #include "cassia/policy/router.h"
 
 #include <boost/json/object.hpp>
--- a/include/cassia/gateway/dispatcher.h
+++ b/include/cassia/gateway/dispatcher.h
@@ -11,7 +11,7 @@
 #include "cassia/net/raw_server.h"
 #include "cassia/policy/request_queue.h"
 #include "cassia/policy/slot_table.h"
-#include "cassia/policy/stall_timeout_estimator.h"
+#include "cassia/policy/stream_pace.h"
 #include "cassia/routes/table.h"
 
 #include <functional>
--- a/include/cassia/keeper/work_leader.h
+++ b/include/cassia/keeper/work_leader.h
@@ -4,7 +4,7 @@
 
 #include "cassia/base/clock.h"
 #include "cassia/base/ids.h"
-#include "cassia/policy/batch_scheduler.h"
+#include "cassia/policy/batch_schedule.h"
 #include "cassia/state/work_state.h"
 
 #include <cstdint>
--- a/lib/gateway/item_runner.cpp
+++ b/lib/gateway/item_runner.cpp
@@ -5,7 +5,7 @@
 #include "cassia/base/digest.h"
 #include "cassia/base/log.h"
 #include "cassia/gateway/caller_identity.h"
-#include "cassia/policy/batch_scheduler.h"
+#include "cassia/policy/batch_schedule.h"
 #include "held_item.h"
 
 #include <algorithm>
--- a/lib/gateway/service.cpp
+++ b/lib/gateway/service.cpp
@@ -3,7 +3,7 @@
 #include "cassia/base/digest.h"
 #include "cassia/base/log.h"
 #include "cassia/net/http_server.h"
-#include "cassia/policy/route_table_wait.h"
+#include "cassia/policy/refusal.h"
 #include "cassia/state/sharding.h"
 
 #include <algorithm>
--- a/lib/policy/batch_scheduler.cpp
+++ b/lib/policy/batch_schedule.cpp
@@ -1,4 +1,4 @@
-#include "cassia/policy/batch_scheduler.h"
+#include "cassia/policy/batch_schedule.h"
 
 #include <algorithm>
 #include <tuple>
--- a/lib/policy/batch_slot_controller.cpp
+++ b/lib/policy/batch_slots.cpp
@@ -1,4 +1,4 @@
-#include "cassia/policy/batch_slot_controller.h"
+#include "cassia/policy/batch_slots.h"
 
 #include <algorithm>
 #include <cmath>
--- a/lib/policy/route_table_wait.cpp
+++ b/lib/policy/refusal.cpp
@@ -1,4 +1,4 @@
-#include "cassia/policy/route_table_wait.h"
+#include "cassia/policy/refusal.h"
 
 #include <algorithm>
 
--- a/lib/policy/stall_timeout_estimator.cpp
+++ b/lib/policy/stream_pace.cpp
@@ -1,4 +1,4 @@
-#include "cassia/policy/stall_timeout_estimator.h"
+#include "cassia/policy/stream_pace.h"
 
 #include <algorithm>
 #include <cmath>
--- a/unittests/policy/policy_test.cpp
+++ b/unittests/policy/policy_test.cpp
@@ -1,8 +1,8 @@
 // Routing, admission, retry budget, strikes, batch scheduling and batch slots.
 
 #include "cassia/policy/admission.h"
-#include "cassia/policy/batch_scheduler.h"
-#include "cassia/policy/batch_slot_controller.h"
+#include "cassia/policy/batch_schedule.h"
+#include "cassia/policy/batch_slots.h"
 #include "cassia/policy/router.h"
 #include "cassia/policy/strikes.h"
 
--- a/unittests/policy/route_table_wait_test.cpp
+++ b/unittests/policy/refusal_test.cpp
@@ -1,6 +1,6 @@
 // Holding and refusing requests while a gateway has no route table.
 
-#include "cassia/policy/route_table_wait.h"
+#include "cassia/policy/refusal.h"
 
 #include <catch2/catch.hpp>
 
--- a/unittests/policy/slots_test.cpp
+++ b/unittests/policy/slots_test.cpp
@@ -1,9 +1,9 @@
 // Placement of requests at endpoints, and the order in which they wait.
 
-#include "cassia/policy/batch_scheduler.h"
+#include "cassia/policy/batch_schedule.h"
 #include "cassia/policy/request_queue.h"
 #include "cassia/policy/slot_table.h"
-#include "cassia/policy/stall_timeout_estimator.h"
+#include "cassia/policy/stream_pace.h"
 
 #include <catch2/catch.hpp>
 
