--- a/include/cassia/policy/quota_ledger.h
+++ b/include/cassia/policy/quota_ledger.h
@@ -72,7 +72,7 @@
         token_bucket bucket;
         double credited_fraction = 0; ///< as in its shard_share
         bool open = false;
-        instant next_retry_at{}; ///< when the last rejected caller was told to retry
+        instant next_retry_at{}; ///< retry time of the last rejected caller
     };
 
     account* find_account(const team_id& team, instant now);
--- a/include/cassia/policy/usage_exchange.h
+++ b/include/cassia/policy/usage_exchange.h
@@ -94,7 +94,7 @@
     void rank_relays();
     void send_to_all(const slot_usage_map& own, instant now, std::vector<usage_message>& out);
     void report_to_relay(const slot_usage_map& own, instant now, std::vector<usage_message>& out);
-    std::optional<usage_message> sums_for(const entry_id& to, report& one,
+    std::optional<usage_message> sums_for(const entry_id& to, report& reporter,
                                           const slot_usage_map& all, instant now) const;
     void publish(const slot_usage_map& own, instant now, std::vector<usage_message>& out);
     void send_to_other_zones(const slot_usage_map& own_zone, instant now,
@@ -106,12 +106,12 @@
     zone_id zone_;
     std::vector<fleet_gateway> others_;
     bool leaving_ = false;
-    std::map<zone_id, std::vector<entry_id>>
-        ranked_; ///< in order of preference as relay, including this gateway
+    /// Gateways of each zone in order of preference as relay, including this gateway.
+    std::map<zone_id, std::vector<entry_id>> ranked_;
     entry_id relay_;
     instant relay_since_{};
     instant relay_received_at_{};
-    std::map<entry_id, instant> avoided_until_; ///< relays that failed
+    std::map<entry_id, instant> avoided_until_; ///< relays that were silent
     std::map<entry_id, report> reports_;
     std::map<zone_id, zone_sum> zones_; ///< other zones
     slot_usage_map own_;
--- a/lib/policy/router.cpp
+++ b/lib/policy/router.cpp
@@ -43,9 +43,8 @@
             known != endpoints_.end() && known->second.info.incarnation == info.incarnation;
         if (same)
             state = std::move(known->second);
-        else if (known != endpoints_.end())
-            state.own_online =
-                known->second.own_online; // Calls of the old process still report their end.
+        else if (known != endpoints_.end()) // Calls of the old process still report their end.
+            state.own_online = known->second.own_online;
         state.info = info;
         next.emplace(info.id, std::move(state));
     }
--- a/lib/policy/strikes.cpp
+++ b/lib/policy/strikes.cpp
@@ -39,22 +39,22 @@
 // another entry.
 crash_attribution strike_list::attribute_crash(const std::vector<running_request>& running,
                                                instant now) const {
-    crash_attribution blame;
+    crash_attribution attribution;
     std::vector<fingerprint> suspects;
     for (const running_request& one : running) {
         if (one.has_output) {
-            blame.deferred.push_back(one.request);
+            attribution.deferred.push_back(one.request);
             continue;
         }
-        blame.immediate.push_back(one.request);
+        attribution.immediate.push_back(one.request);
         if (is_suspect(one.request, now))
             suspects.push_back(one.request);
     }
     if (suspects.size() == 1)
-        blame.immediate = suspects;
-    if (!blame.immediate.empty())
-        blame.deferred.clear();
-    return blame;
+        attribution.immediate = suspects;
+    if (!attribution.immediate.empty())
+        attribution.deferred.clear();
+    return attribution;
 }
 
 bool strike_list::has_strike_since(const endpoint_id& endpoint, instant since) const {
--- a/lib/policy/usage_exchange.cpp
+++ b/lib/policy/usage_exchange.cpp
@@ -77,9 +77,9 @@
 }
 
 void usage_exchange::receive_report(const entry_id& from, slot_usage_map usage, instant now) {
-    report& one = reports_[from];
-    one.usage = std::move(usage);
-    one.received_at = now;
+    report& reporter = reports_[from];
+    reporter.usage = std::move(usage);
+    reporter.received_at = now;
 }
 
 bool usage_exchange::receive_sums(const entry_id& relay, const zone_id& zone,
@@ -178,21 +178,21 @@
 }
 
 // Another zone's sum is sent only when a new one was received; that zone's relay repeats it.
-std::optional<usage_message> usage_exchange::sums_for(const entry_id& to, report& one,
+std::optional<usage_message> usage_exchange::sums_for(const entry_id& to, report& reporter,
                                                       const slot_usage_map& all,
                                                       instant now) const {
     usage_message message{to, usage_message::content::sums, {}, {}};
     for (const std::pair<const zone_id, zone_sum>& zone : zones_) {
-        std::shared_ptr<const slot_usage_map>& sent = one.sent_zones[zone.first];
+        std::shared_ptr<const slot_usage_map>& sent = reporter.sent_zones[zone.first];
         if (sent == zone.second.usage)
             continue;
         sent = zone.second.usage;
         message.zones[zone.first] = sent;
     }
-    slot_usage_map own_zone = subtract_usage(all, one.usage);
-    if (own_zone != one.sent_own_zone || now - one.sent_at >= sums_repeat_interval) {
-        one.sent_own_zone = own_zone;
-        one.sent_at = now;
+    slot_usage_map own_zone = subtract_usage(all, reporter.usage);
+    if (own_zone != reporter.sent_own_zone || now - reporter.sent_at >= sums_repeat_interval) {
+        reporter.sent_own_zone = own_zone;
+        reporter.sent_at = now;
         message.zones[zone_] = std::make_shared<slot_usage_map>(std::move(own_zone));
     }
     if (message.zones.empty())
--- a/unittests/policy/quota_simulation.h
+++ b/unittests/policy/quota_simulation.h
@@ -69,10 +69,10 @@
 class fleet {
 public:
     struct gateway {
-        std::unique_ptr<quota_enforcer> gate;
+        std::unique_ptr<quota_enforcer> enforcer;
         instant frozen_until{};
-        std::deque<std::pair<entry_id, quota_report>>
-            held_reports; ///< received, but not processed yet
+        // Messages received, but not processed yet.
+        std::deque<std::pair<entry_id, quota_report>> held_reports;
         std::deque<std::pair<entry_id, quota_reply>> held_replies;
     };
 
@@ -87,9 +87,9 @@
 
     void restart(std::size_t i) {
         gateways[i] = {};
-        gateways[i].gate =
+        gateways[i].enforcer =
             std::make_unique<quota_enforcer>(gateway_name(i), ++incarnations_, tolerance);
-        gateways[i].gate->set_quotas(quotas_, now);
+        gateways[i].enforcer->set_quotas(quotas_, now);
         std::erase_if(pending_, [i](const auto& one) { return one.first.first == i; });
         update_list(i);
     }
@@ -106,7 +106,7 @@
         quotas_[team] = quota;
         set_exact(team);
         for (gateway& one : gateways)
-            one.gate->set_quotas(quotas_, now);
+            one.enforcer->set_quotas(quotas_, now);
     }
 
     void request(std::size_t i, const team_id& team) {
@@ -115,7 +115,7 @@
         const bool exact_admits = outcome.exact_bucket.level(now) >= 1;
         if (exact_admits)
             outcome.exact_bucket.take(1, now);
-        const quota_decision decision = gateways[i].gate->admit(team, now);
+        const quota_decision decision = gateways[i].enforcer->admit(team, now);
         if (decision.verdict == quota_verdict::pending) {
             ++outcome.asked;
             pending_[{i, decision.ask}] = {team, exact_admits, now};
@@ -148,11 +148,11 @@
     }
 
     std::size_t owner_of(const team_id& team) const {
-        const auto& owners = gateways[0].gate->owners();
+        const auto& owners = gateways[0].enforcer->owners();
         for (std::size_t i = 0; i < gateways.size(); ++i) {
             const bool owns =
                 std::find(owners.begin(), owners.end(), gateway_name(i)) != owners.end();
-            if (owns && gateways[i].gate->owns(team))
+            if (owns && gateways[i].enforcer->owns(team))
                 return i;
         }
         return gateways.size();
@@ -192,8 +192,8 @@
             if (k != i && unlisted_.count(k) == 0)
                 others.push_back({gateway_name(k), zone_id("z"), false});
         }
-        if (gateways[i].gate)
-            gateways[i].gate->set_gateways(others, now);
+        if (gateways[i].enforcer)
+            gateways[i].enforcer->set_gateways(others, now);
     }
     void record_decision(const team_id& team, const quota_decision& decision, bool exact_admits) {
         team_outcome& outcome = outcomes[team];
@@ -233,14 +233,16 @@
     void poll_gateway(std::size_t i) {
         gateway& one = gateways[i];
         while (!one.held_reports.empty()) {
-            one.gate->receive(one.held_reports.front().first, one.held_reports.front().second, now);
+            one.enforcer->receive(one.held_reports.front().first, one.held_reports.front().second,
+                                  now);
             one.held_reports.pop_front();
         }
         while (!one.held_replies.empty()) {
-            one.gate->receive(one.held_replies.front().first, one.held_replies.front().second, now);
+            one.enforcer->receive(one.held_replies.front().first, one.held_replies.front().second,
+                                  now);
             one.held_replies.pop_front();
         }
-        quota_output out = one.gate->poll(now);
+        quota_output out = one.enforcer->poll(now);
         for (auto& report : out.reports)
             send(i, report.first, std::move(report.second), std::nullopt);
         for (auto& reply : out.replies)
--- a/unittests/policy/team_quota_test.cpp
+++ b/unittests/policy/team_quota_test.cpp
@@ -171,25 +171,25 @@
 }
 
 TEST_CASE("the token of a request that never ran is refunded", "[policy]") {
-    quota_enforcer gate(entry_id("g0"), 1, {});
-    gate.set_gateways({}, instant(std::chrono::seconds(1)));
-    gate.set_quotas({{team, make_quota(1, 3)}}, instant(std::chrono::seconds(1)));
+    quota_enforcer enforcer(entry_id("g0"), 1, {});
+    enforcer.set_gateways({}, instant(std::chrono::seconds(1)));
+    enforcer.set_quotas({{team, make_quota(1, 3)}}, instant(std::chrono::seconds(1)));
     for (int tick = 0; tick < 100; ++tick)
-        gate.poll(instant(std::chrono::seconds(1)) + tick * milliseconds(100));
+        enforcer.poll(instant(std::chrono::seconds(1)) + tick * milliseconds(100));
     const instant now = instant(std::chrono::seconds(11));
     std::vector<quota_decision> taken;
     for (int i = 0; i < 3; ++i)
-        taken.push_back(gate.admit(team, now));
+        taken.push_back(enforcer.admit(team, now));
     CHECK(taken.back().verdict == quota_verdict::admitted);
-    gate.refund(taken.back().grant, now);
-    CHECK(gate.admit(team, now).verdict == quota_verdict::admitted);
-    const quota_decision denied = gate.admit(team, now);
+    enforcer.refund(taken.back().grant, now);
+    CHECK(enforcer.admit(team, now).verdict == quota_verdict::admitted);
+    const quota_decision denied = enforcer.admit(team, now);
     CHECK(denied.verdict == quota_verdict::rejected);
     CHECK(denied.retry_after == milliseconds(1000));
     // The next rejected caller gets a later retry time.
-    CHECK(gate.admit(team, now).retry_after == milliseconds(2000));
+    CHECK(enforcer.admit(team, now).retry_after == milliseconds(2000));
     // A caller that retries at its time is admitted.
-    CHECK(gate.admit(team, now + denied.retry_after).verdict == quota_verdict::admitted);
+    CHECK(enforcer.admit(team, now + denied.retry_after).verdict == quota_verdict::admitted);
 }
 
 TEST_CASE("a team without a quota is always admitted locally", "[policy]") {
