--- a/include/cassia/entry/online_calls.h
+++ b/include/cassia/entry/online_calls.h
@@ -139,11 +139,11 @@
     std::function<void(batch_offers)> on_batch_offers_;
     net::http_client client_;
     policy::router router_;
-    policy::waiting_room waiting_;
+    policy::fair_queue waiting_;
     policy::retry_budget retries_;
     crash_blame blame_;
     std::map<team_id, policy::rate_limiter> rates_;
-    std::map<endpoint_id, policy::batch_slots> slots_;
+    std::map<endpoint_id, policy::batch_slot_controller> slots_;
     std::map<endpoint_id, endpoint_use> batch_uses_;
     std::map<exchange_id, call> calls_;
     double ends_per_second_ = 0;
--- a/include/cassia/gateway/quota_coordinator.h
+++ b/include/cassia/gateway/quota_coordinator.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "cassia/base/ids.h"
-#include "cassia/policy/quota_gate.h"
+#include "cassia/policy/quota_enforcer.h"
 #include "cassia/schema/messages.pb.h"
 
 #include <cstdint>
@@ -33,7 +33,7 @@
     /// Returns the token of a request that has not run and never will.
     void refund(const policy::quota_grant& grant);
     /// Drops a pending question: the caller has disconnected.
-    void cancel(std::uint64_t ask) { gate_.forget(ask); }
+    void cancel(std::uint64_t ask) { gate_.cancel_ask(ask); }
     /// Sends messages that are due and delivers decisions.
     void flush();
     /// \returns false if the message is of another kind.
@@ -45,7 +45,7 @@
 
     entry_id self_;
     quota_hooks hooks_;
-    policy::quota_gate gate_;
+    policy::quota_enforcer gate_;
 };
 
 } // namespace cassia::gateway
--- a/include/cassia/gateway/usage_coordinator.h
+++ b/include/cassia/gateway/usage_coordinator.h
@@ -16,7 +16,7 @@
     /// Sends to another gateway. \returns false if its address is unknown.
     std::function<bool(const entry_id& to, schema::envelope&)> send;
     /// Slots in use by another gateway or by a whole zone, under its key in the slot table.
-    std::function<void(const entry_id& holder, policy::use_map)> on_usage;
+    std::function<void(const entry_id& holder, policy::slot_usage_map)> on_usage;
     /// Another gateway needs slots that batch items of this one hold.
     std::function<void(const endpoint_id&, std::uint32_t slots)> on_yield_request;
 };
@@ -29,7 +29,7 @@
     /// This gateway no longer acts as a relay.
     void leave() { exchange_.leave(); }
     /// Sends the slots in use here to other gateways when due.
-    void share(const policy::use_map& usage);
+    void share(const policy::slot_usage_map& usage);
     /// \param holder a gateway, or a zone by its key in the slot table.
     void request_yield(const entry_id& holder, const endpoint_id& endpoint, std::uint32_t slots);
     /// Handles a message of another gateway; ignores messages of other kinds.
--- a/include/cassia/keeper/work_leader.h
+++ b/include/cassia/keeper/work_leader.h
@@ -78,7 +78,7 @@
     const state::work_state& state_;
     milliseconds holder_timeout_;
     work_leader_hooks hooks_;
-    policy::batch_schedule schedule_;
+    policy::batch_scheduler schedule_;
 
     bool leading_ = false;
     instant role_changed_at_{}; ///< when this member last began or ceased to lead
--- a/lib/gateway/caller_identity.cpp
+++ b/lib/gateway/caller_identity.cpp
@@ -32,7 +32,7 @@
 
 std::string short_key_digest(const net::http_fields& fields, const header_names& names) {
     const std::string_view key = unique_key(fields, names);
-    return key.empty() ? "" : teams::short_form(teams::digest_of(key));
+    return key.empty() ? "" : teams::digest_prefix(teams::digest_of(key));
 }
 
 } // namespace cassia::gateway
--- a/lib/gateway/dispatch_migration.cpp
+++ b/lib/gateway/dispatch_migration.cpp
@@ -28,8 +28,8 @@
     const std::optional<policy::placement> placement = place_elsewhere(call, now);
     if (!placement)
         return;
-    slots_.note_stall(call.endpoint, now);
-    slots_.take(placement->endpoint, policy::work_kind::online);
+    slots_.record_stall(call.endpoint, now);
+    slots_.acquire(placement->endpoint, policy::work_kind::online);
     call.migration = migration_state{};
     call.migration.attempted = true;
     call.migration.target = *placement;
--- a/lib/gateway/dispatch_responses.cpp
+++ b/lib/gateway/dispatch_responses.cpp
@@ -35,7 +35,7 @@
         call.not_run = true;
         return;
     }
-    slots_.trust(call.endpoint);
+    slots_.record_success(call.endpoint);
     if (!is_response_to(call, head)) {
         eject_endpoint(call, call.last_progress_at);
         retry_or_fail(call, "answer_of_another_request");
@@ -62,7 +62,7 @@
         return;
     online_call& call = *found->second;
     call.last_progress_at = monotonic_now();
-    slots_.note_progress(call.endpoint);
+    slots_.record_progress(call.endpoint);
     if (call.first_byte_at < call.sent_at)
         call.first_byte_at = call.last_progress_at;
     if (!call.is_stream() || call.forwards_error) {
@@ -122,7 +122,7 @@
             const microseconds pause = std::chrono::duration_cast<microseconds>(
                 call.last_progress_at - call.last_event_at);
             call.longest_pause = std::max(call.longest_pause, pause);
-            paces_[call.service].note(pause);
+            paces_[call.service].record_pause(pause);
         }
         call.last_event_at = call.last_progress_at;
     }
--- a/lib/gateway/dispatch_timeouts.cpp
+++ b/lib/gateway/dispatch_timeouts.cpp
@@ -88,7 +88,7 @@
         }
         return;
     }
-    const milliseconds ejection_time = slots_.note_stall(call.endpoint, now);
+    const milliseconds ejection_time = slots_.record_stall(call.endpoint, now);
     metrics_.count("streams_moved");
     log_info("stream_moved")
         .with("request", call.request_id)
@@ -103,7 +103,7 @@
 }
 
 microseconds dispatcher::stall_timeout(const online_call& call) {
-    return paces_[call.service].stall_limit(call.longest_pause,
+    return paces_[call.service].stall_timeout(call.longest_pause,
                                             milliseconds(call.route->pause_ms()));
 }
 
@@ -123,7 +123,7 @@
 // free slot may be full when the request arrives. Once that is known, one of the batch items there
 // is asked to yield. If the endpoint isn't full, another free slot would not help the request.
 void dispatcher::reclaim_slot(online_call& call, instant now) {
-    const std::optional<entry_id> holder = slots_.holder_in_the_way(call.endpoint);
+    const std::optional<entry_id> holder = slots_.batch_holder_if_full(call.endpoint);
     if (!holder)
         return;
     call.last_reclaim_at = now;
--- a/lib/gateway/dispatcher.cpp
+++ b/lib/gateway/dispatcher.cpp
@@ -91,7 +91,7 @@
         return;
     }
     call.phase = call.phase == call_phase::responding ? call.phase : call_phase::queued;
-    if (!queue_.has(call.id))
+    if (!queue_.contains(call.id))
         log_info("request_queued")
             .with("request", call.request_id)
             .with("service", call.service.str())
@@ -118,10 +118,10 @@
 }
 
 void dispatcher::send(online_call& call, const policy::placement& placement) {
-    if (placement.yields)
-        hooks_.request_yield(*placement.yields, placement.endpoint);
-    queue_.serve(call.id);
-    slots_.take(placement.endpoint, policy::work_kind::online);
+    if (placement.yielding_gateway)
+        hooks_.request_yield(*placement.yielding_gateway, placement.endpoint);
+    queue_.remove_served(call.id);
+    slots_.acquire(placement.endpoint, policy::work_kind::online);
     call.holds_slot = true;
     call.endpoint = placement.endpoint;
     call.address = placement.address;
@@ -145,7 +145,7 @@
         .with("endpoint", placement.endpoint.str())
         .with("free", placement.free)
         .with("on_trial", placement.on_trial ? 1 : 0)
-        .with("yields", placement.yields ? "1" : "0")
+        .with("yields", placement.yielding_gateway ? "1" : "0")
         .with("send", call.sends)
         .with("behind_event", call.last_event);
     const exchange_id id = call.id;
@@ -182,7 +182,7 @@
 }
 
 void dispatcher::eject_endpoint(const online_call& call, instant now) {
-    const milliseconds ejection_time = slots_.suspect(call.endpoint, now);
+    const milliseconds ejection_time = slots_.record_failure(call.endpoint, now);
     client_.forget(call.address);
     log_info("endpoint_suspended")
         .with("endpoint", call.endpoint.str())
--- a/lib/gateway/item_responses.cpp
+++ b/lib/gateway/item_responses.cpp
@@ -28,7 +28,7 @@
     item.last_progress_at = monotonic_now();
     item.not_run = head.fields.has(names_.not_run) || head.status == status_misdirected;
     item.status = head.status;
-    slots_.trust(item.endpoint);
+    slots_.record_success(item.endpoint);
     if (item.not_run)
         return;
     const bool is_own_response =
@@ -103,7 +103,7 @@
     item.failed_endpoints.insert(item.endpoint);
     const bool stale_connection = failure.kept && !failure.answered;
     if (!stale_connection)
-        slots_.suspect(item.endpoint, monotonic_now());
+        slots_.record_failure(item.endpoint, monotonic_now());
     const std::uint32_t delay_factor = std::min(item.runs, max_delay_factor);
     requeue(item, stale_connection ? milliseconds(0) : failure_delay * delay_factor,
             failure.cause.text);
--- a/lib/gateway/item_runner.cpp
+++ b/lib/gateway/item_runner.cpp
@@ -94,7 +94,7 @@
         return;
     for (const schema::route* route : routes_->of_kind(schema::route::batch)) {
         const service_id service(route->targets(0).service());
-        const std::uint32_t room = slots_.batch_room(service, now);
+        const std::uint32_t room = slots_.batch_capacity(service, now);
         if (room == 0)
             continue;
         const std::uint32_t limit = std::min(room, max_ready - static_cast<std::uint32_t>(ready));
@@ -140,7 +140,7 @@
     std::vector<std::tuple<bool, std::uint64_t, item_key>> ready;
     for (const std::pair<const item_key, std::unique_ptr<held_item>>& keyed_item : items_) {
         if (keyed_item.second->upstream_call == call_id() && now >= keyed_item.second->ready_at)
-            ready.emplace_back(policy::is_late(keyed_item.second->leased.deadline(), unix_ms),
+            ready.emplace_back(policy::would_miss_deadline(keyed_item.second->leased.deadline(), unix_ms),
                                keyed_item.second->leased.deadline(), keyed_item.first);
     }
     std::sort(ready.begin(), ready.end());
@@ -187,7 +187,7 @@
         item.failed_endpoints.clear();
         return false;
     }
-    slots_.take(placement->endpoint, policy::work_kind::batch);
+    slots_.acquire(placement->endpoint, policy::work_kind::batch);
     item.endpoint = placement->endpoint;
     item.last_progress_at = now;
     item.start_number = ++start_count_;
@@ -315,7 +315,7 @@
         if (item.upstream_call == call_id() || now - item.last_progress_at < inactivity_timeout)
             continue;
         item.failed_endpoints.insert(item.endpoint);
-        slots_.suspect(item.endpoint, now);
+        slots_.record_failure(item.endpoint, now);
         requeue(item, milliseconds(0), "endpoint_silent");
     }
 }
--- a/lib/gateway/quota_coordinator.cpp
+++ b/lib/gateway/quota_coordinator.cpp
@@ -30,7 +30,7 @@
 }
 
 void quota_coordinator::refund(const policy::quota_grant& grant) {
-    gate_.give_back(grant, monotonic_now());
+    gate_.refund(grant, monotonic_now());
 }
 
 static schema::envelope encode(const entry_id& self, const policy::quota_report& report) {
@@ -77,7 +77,7 @@
 }
 
 void quota_coordinator::flush() {
-    policy::quota_output output = gate_.due(monotonic_now());
+    policy::quota_output output = gate_.poll(monotonic_now());
     for (const std::pair<entry_id, policy::quota_report>& report : output.reports) {
         schema::envelope envelope = encode(self_, report.second);
         hooks_.send(report.first, envelope);
--- a/lib/gateway/service.cpp
+++ b/lib/gateway/service.cpp
@@ -86,8 +86,8 @@
         slots_.set_endpoints(endpoints);
         dispatcher_->dispatch_queued();
     };
-    cluster_callbacks.on_usage = [this](const entry_id& holder, policy::use_map usage) {
-        slots_.set_others(holder, std::move(usage), monotonic_now());
+    cluster_callbacks.on_usage = [this](const entry_id& holder, policy::slot_usage_map usage) {
+        slots_.set_remote_usage(holder, std::move(usage), monotonic_now());
     };
     cluster_callbacks.on_yield_request = [this](const endpoint_id& endpoint, std::uint32_t slots) {
         items_->yield(endpoint, slots);
@@ -140,8 +140,8 @@
     net::on_signal(task_, SIGUSR1, [this] { log_info("state_dump").with("dump", dump()); });
     task_.every(tick_interval, [this] { tick(); });
     task_.every(usage_interval, [this] {
-        slots_.forget_others(monotonic_now());
-        cluster_->share_usage(slots_.own_uses());
+        slots_.expire_remote_usage(monotonic_now());
+        cluster_->share_usage(slots_.own_usage());
     });
     task_.every(traffic_log_interval, [this] { cluster_->peers().log_sent(); });
     task_.every(held_items_interval, [this] {
@@ -225,8 +225,8 @@
         net::read_milliseconds(request.fields.find(names_.deadline)).value_or(default_deadline);
     std::uniform_real_distribution<double> uniform(0, 1);
     const std::optional<milliseconds> retry_after =
-        policy::come_back_with_routes(remaining, uniform(random_));
-    const instant expires_at = now + policy::wait_for_routes(remaining, retry_after.has_value());
+        policy::route_table_retry_after(remaining, uniform(random_));
+    const instant expires_at = now + policy::route_table_wait(remaining, retry_after.has_value());
     log_info("request_kept")
         .with("request", request.fields.find(names_.request_id))
         .with("cause", "no_routes")
--- a/lib/gateway/usage_coordinator.cpp
+++ b/lib/gateway/usage_coordinator.cpp
@@ -7,23 +7,23 @@
 
 namespace cassia::gateway {
 
+using policy::slot_usage_map;
 using policy::usage_message;
-using policy::use_map;
 
 template <class Message>
-static void encode_usage(const use_map& usage, Message& message) {
-    for (const std::pair<const endpoint_id, policy::slot_use>& endpoint_usage : usage) {
+static void encode_usage(const slot_usage_map& usage, Message& message) {
+    for (const std::pair<const endpoint_id, policy::slot_usage>& endpoint_usage : usage) {
         schema::endpoint_use* use = message.add_uses();
         use->set_endpoint(endpoint_usage.first.str());
         use->set_online(endpoint_usage.second.online);
         use->set_batch(endpoint_usage.second.batch);
-        use->set_suspects(endpoint_usage.second.suspecting);
+        use->set_suspects(endpoint_usage.second.suspected_by);
     }
 }
 
 template <class Message>
-static use_map decode_usage(const Message& message) {
-    use_map usage;
+static slot_usage_map decode_usage(const Message& message) {
+    slot_usage_map usage;
     for (const schema::endpoint_use& use : message.uses())
         usage[endpoint_id(use.endpoint())] = {use.online(), use.batch(), use.suspects()};
     return usage;
@@ -37,8 +37,8 @@
     exchange_.set_gateways(std::move(others));
 }
 
-void usage_coordinator::share(const use_map& usage) {
-    for (const usage_message& message : exchange_.due(usage, monotonic_now()))
+void usage_coordinator::share(const slot_usage_map& usage) {
+    for (const usage_message& message : exchange_.poll(usage, monotonic_now()))
         send(message);
     const entry_id relay = exchange_.relay().value_or(entry_id());
     if (relay == last_logged_relay_)
@@ -49,7 +49,7 @@
 
 void usage_coordinator::send(const usage_message& message) {
     if (message.to == self_) {
-        for (const policy::zone_uses::value_type& zone_use : message.zones)
+        for (const policy::zone_usage_map::value_type& zone_use : message.zones)
             hooks_.on_usage(policy::usage_exchange::zone_key(zone_use.first), *zone_use.second);
         return;
     }
@@ -64,7 +64,7 @@
         schema::usage_sums* sums = envelope.mutable_sums();
         sums->set_entry(self_.str());
         sums->set_zone(zone_.str());
-        for (const policy::zone_uses::value_type& zone_use : message.zones) {
+        for (const policy::zone_usage_map::value_type& zone_use : message.zones) {
             schema::zone_usage* zone = sums->add_zones();
             zone->set_zone(zone_use.first.str());
             encode_usage(*zone_use.second, *zone);
@@ -79,7 +79,7 @@
         hooks_.on_usage(entry_id(message.rumor().entry()), decode_usage(message.rumor()));
         break;
     case schema::envelope::kUsage:
-        exchange_.take_report(entry_id(message.usage().entry()), decode_usage(message.usage()),
+        exchange_.receive_report(entry_id(message.usage().entry()), decode_usage(message.usage()),
                               monotonic_now());
         break;
     case schema::envelope::kSums:
@@ -94,12 +94,12 @@
 }
 
 void usage_coordinator::on_zone_sums(const schema::usage_sums& sums) {
-    policy::zone_uses zones;
+    policy::zone_usage_map zones;
     for (const schema::zone_usage& zone : sums.zones())
-        zones[zone_id(zone.zone())] = std::make_shared<use_map>(decode_usage(zone));
-    if (!exchange_.take_sums(entry_id(sums.entry()), zone_id(sums.zone()), zones, monotonic_now()))
+        zones[zone_id(zone.zone())] = std::make_shared<slot_usage_map>(decode_usage(zone));
+    if (!exchange_.receive_sums(entry_id(sums.entry()), zone_id(sums.zone()), zones, monotonic_now()))
         return;
-    for (const policy::zone_uses::value_type& zone : zones)
+    for (const policy::zone_usage_map::value_type& zone : zones)
         hooks_.on_usage(policy::usage_exchange::zone_key(zone.first), *zone.second);
 }
 
@@ -129,7 +129,7 @@
 void usage_coordinator::forward_yield_request(const schema::yield_request& request) {
     for (std::uint32_t i = 0; i < request.slots(); ++i) {
         const std::optional<policy::yield_target> target =
-            exchange_.choose_yielding(endpoint_id(request.endpoint()), request.relayed());
+            exchange_.choose_yield_target(endpoint_id(request.endpoint()), request.relayed());
         if (!target)
             return;
         if (target->gateway == self_) {
--- a/lib/policy/request_queue.cpp
+++ b/lib/policy/request_queue.cpp
@@ -6,23 +6,23 @@
 
 namespace cassia::policy {
 
-// A team that joins stands level with the one served least: it neither waits for what others had
-// before, nor is owed anything for it.
-void request_queue::add(const waiting_request& request) {
-    if (turns_.count(request.team) == 0) {
+// A team that joins starts level with the team served least: it neither has to wait for the others
+// to catch up, nor gets credit for the time before.
+void request_queue::add(const queued_request& request) {
+    if (served_by_team_.count(request.team) == 0) {
         auto least =
-            std::min_element(turns_.begin(), turns_.end(),
+            std::min_element(served_by_team_.begin(), served_by_team_.end(),
                              [](const auto& a, const auto& b) { return a.second < b.second; });
-        turns_[request.team] = least == turns_.end() ? 0 : least->second;
+        served_by_team_[request.team] = least == served_by_team_.end() ? 0 : least->second;
     }
     waiting_[request.id] = request;
 }
 
-void request_queue::serve(exchange_id id) {
+void request_queue::remove_served(exchange_id id) {
     auto found = waiting_.find(id);
     if (found == waiting_.end())
         return;
-    ++turns_[found->second.team];
+    ++served_by_team_[found->second.team];
     remove(id);
 }
 
@@ -32,21 +32,22 @@
         return;
     const team_id team = found->second.team;
     waiting_.erase(found);
-    const bool waits = std::any_of(waiting_.begin(), waiting_.end(),
-                                   [&team](const auto& one) { return one.second.team == team; });
-    if (!waits)
-        turns_.erase(team);
+    const bool still_waiting =
+        std::any_of(waiting_.begin(), waiting_.end(),
+                    [&team](const auto& one) { return one.second.team == team; });
+    if (!still_waiting)
+        served_by_team_.erase(team);
 }
 
-// Oldest first would give each slot to the request whose target is just missed, once the line is
-// longer than the target: all would be late. A late one waits until none on time does.
+// First-come, first-served would make every request late once the queue is longer than the target:
+// each slot would go to a request that has just missed it. So late requests wait for those on time.
 std::optional<exchange_id> request_queue::next(const service_id& service, instant now) const {
-    const auto rank = [this, now](const waiting_request& one) {
-        return std::make_tuple(now > one.on_time_until, one.priority, turns_.at(one.team),
-                               one.on_time_until, one.id);
+    const auto rank = [this, now](const queued_request& one) {
+        return std::make_tuple(now > one.target_deadline, one.priority,
+                               served_by_team_.at(one.team), one.target_deadline, one.id);
     };
-    const waiting_request* first = nullptr;
-    for (const std::pair<const exchange_id, waiting_request>& one : waiting_) {
+    const queued_request* first = nullptr;
+    for (const std::pair<const exchange_id, queued_request>& one : waiting_) {
         if (one.second.service != service)
             continue;
         if (first == nullptr || rank(one.second) < rank(*first))
@@ -57,18 +58,18 @@
     return first->id;
 }
 
-std::vector<exchange_id> request_queue::hopeless(instant now) const {
-    std::vector<exchange_id> out;
-    for (const std::pair<const exchange_id, waiting_request>& one : waiting_) {
-        if (now > one.second.give_up_at)
-            out.push_back(one.first);
+std::vector<exchange_id> request_queue::expired(instant now) const {
+    std::vector<exchange_id> expired_ids;
+    for (const std::pair<const exchange_id, queued_request>& one : waiting_) {
+        if (now > one.second.expires_at)
+            expired_ids.push_back(one.first);
     }
-    return out;
+    return expired_ids;
 }
 
 std::vector<service_id> request_queue::services() const {
     std::set<service_id> names;
-    for (const std::pair<const exchange_id, waiting_request>& one : waiting_)
+    for (const std::pair<const exchange_id, queued_request>& one : waiting_)
         names.insert(one.second.service);
     return {names.begin(), names.end()};
 }
--- a/lib/policy/strikes.cpp
+++ b/lib/policy/strikes.cpp
@@ -20,7 +20,7 @@
     return static_cast<std::size_t>(
         std::count_if(found->second.begin(), found->second.end(),
                       [this, now](const std::pair<const endpoint_id, instant>& one) {
-                          return now - one.second < memory_;
+                          return now - one.second < retention_;
                       }));
 }
 
@@ -32,48 +32,50 @@
     return count(request, now) >= quarantine_strikes;
 }
 
-// What crashes an endpoint mostly does so at once, so the blame goes to those it had not begun to
-// answer; among these to the suspect, if there is just one. Without this the innocent requests
-// beside a poisonous one collect as many strikes as it does, and are quarantined with it. An entry
-// that has none of these waits for the word of the one that has.
-death_blame strike_list::blame(const std::vector<running_request>& running, instant now) const {
-    death_blame blame;
+// A request that crashes an endpoint mostly does so before its first output, so the crash is
+// attributed to the requests without output, or to the suspect if there is just one among these.
+// Otherwise innocent requests beside a poisonous one would collect as many strikes and be
+// quarantined with it. An entry whose requests all had output defers, as the cause is likely at
+// another entry.
+crash_attribution strike_list::attribute_crash(const std::vector<running_request>& running,
+                                               instant now) const {
+    crash_attribution attribution;
     std::vector<fingerprint> suspects;
     for (const running_request& one : running) {
         if (one.has_output) {
-            blame.likely.push_back(one.request);
+            attribution.deferred.push_back(one.request);
             continue;
         }
-        blame.certain.push_back(one.request);
+        attribution.immediate.push_back(one.request);
         if (is_suspect(one.request, now))
             suspects.push_back(one.request);
     }
     if (suspects.size() == 1)
-        blame.certain = suspects;
-    if (!blame.certain.empty())
-        blame.likely.clear();
-    return blame;
+        attribution.immediate = suspects;
+    if (!attribution.immediate.empty())
+        attribution.deferred.clear();
+    return attribution;
 }
 
-bool strike_list::knows_death(const endpoint_id& endpoint, instant since) const {
+bool strike_list::has_strike_since(const endpoint_id& endpoint, instant since) const {
     return std::any_of(strikes_.begin(), strikes_.end(), [&endpoint, since](const auto& one) {
         auto hit = one.second.find(endpoint);
         return hit != one.second.end() && hit->second >= since;
     });
 }
 
-std::vector<strike> strike_list::all(instant now) const {
+std::vector<strike> strike_list::active(instant now) const {
     std::vector<strike> out;
     for (const std::pair<const fingerprint, std::map<endpoint_id, instant>>& one : strikes_) {
         for (const std::pair<const endpoint_id, instant>& hit : one.second) {
-            if (now - hit.second < memory_)
+            if (now - hit.second < retention_)
                 out.push_back({one.first, hit.first, hit.second});
         }
     }
     return out;
 }
 
-void strike_list::forget_old(instant now) {
+void strike_list::remove_expired(instant now) {
     for (auto one = strikes_.begin(); one != strikes_.end();)
         one = count(one->first, now) == 0 ? strikes_.erase(one) : std::next(one);
 }
