--- a/include/cassia/gateway/caller_identity.h
+++ b/include/cassia/gateway/caller_identity.h
@@ -12,7 +12,8 @@
 
 struct caller_identity {
     bool accepted = false;             ///< false: a key is required, and no team has the one sent
-    const teams::team* team = nullptr; ///< owned by the routing table; null if no key is required
+    const teams::team* team = nullptr; ///< owned by the routing table; null if rejected or
+                                       ///< if no key is required
 };
 
 /// Identifies the caller of a request. \p route is null for requests that belong to no single
--- a/include/cassia/gateway/cluster_client.h
+++ b/include/cassia/gateway/cluster_client.h
@@ -1,5 +1,6 @@
-/// A gateway's communication with the keepers and with other gateways: receives routes, endpoints,
-/// gateways and events of jobs, and sends requests to the keepers.
+/// A gateway's communication with the keepers and with other gateways. The keepers send it the
+/// routing table, the lists of endpoints and gateways and the jobs to cancel, and reply to its
+/// requests. With other gateways it exchanges slot usage and quota messages.
 #pragma once
 
 #include "cassia/base/clock.h"
@@ -49,7 +50,8 @@
     cluster_client(net::task& owner, const schema::gateway_settings& settings, cluster_hooks hooks);
     ~cluster_client();
 
-    /// Opens the socket and sends the first hello. \returns an empty string or an error message.
+    /// Opens the socket and sends the first heartbeat. \returns an empty string or an error
+    /// message.
     std::string open();
     /// Announces that this gateway is draining, so that keepers no longer list it as serving.
     void leave();
@@ -86,6 +88,8 @@
         instant last_beacon_at{};
     };
 
+    /// Keepers that get a heartbeat. The followed keeper is the one of the control group from which
+    /// this gateway copies the list of gateways; see membership::followed_keeper.
     enum class heartbeat_scope { followed_keeper, work_keepers, all_keepers };
     void send_heartbeat(heartbeat_scope scope);
     net::peer_watch watch_for(const peer_address& keeper, const peer_address& followed) const;
--- a/include/cassia/gateway/dispatcher.h
+++ b/include/cassia/gateway/dispatcher.h
@@ -27,8 +27,8 @@
 namespace cassia::gateway {
 
 struct dispatcher_hooks {
-    /// Asks a batch item to yield its slot. `holder` is the gateway that runs the item, empty for
-    /// this one.
+    /// Asks a batch item to yield its slot. `holder` is the gateway or zone that runs the item, by
+    /// its key in the slot table; empty for this gateway.
     std::function<void(const entry_id& holder, const endpoint_id&)> request_yield;
     /// Refunds the quota of a request that has not run and never will.
     std::function<void(const policy::quota_grant&)> refund_quota;
@@ -62,6 +62,7 @@
     std::size_t queued_calls() const { return queue_.size(); }
 
 private:
+    /// Sends the call to an endpoint with a slot for it, or queues it if there is none.
     void place(online_call& call);
     void send(online_call& call, const policy::placement& placement);
     net::raw_request make_upstream_request(const online_call& call,
@@ -76,7 +77,7 @@
     void begin_response(online_call& call);
     void buffer_event(online_call& call, const std::string& event);
     void flush_events(online_call& call);
-    /// Asks a batch item at the call's endpoint to yield its slot, if that would help the call.
+    /// Asks a batch item at the call's endpoint to yield its slot if all slots there are taken.
     void reclaim_slot(online_call& call, instant now);
     bool may_retry(const online_call& call) const;
     /// A free slot for a stalled stream at another endpoint than its own.
@@ -92,8 +93,10 @@
     void retry_not_run(online_call& call, const std::string& cause);
     /// The attempt may have run.
     void retry_or_fail(online_call& call, const std::string& cause);
+    /// Ejects the call's endpoint: it gets no requests for a time.
     void eject_endpoint(const online_call& call, instant now);
-    /// Time without an event after which a stream is resumed at another endpoint with a free slot.
+    /// Time without a byte after which a stream is resumed at another endpoint with a free slot, or
+    /// its run is migrated there.
     microseconds stall_timeout(const online_call& call);
     /// Time without a byte after which an attempt is considered lost.
     microseconds inactivity_timeout(const online_call& call) const;
--- a/include/cassia/gateway/header_names.h
+++ b/include/cassia/gateway/header_names.h
@@ -10,7 +10,7 @@
     std::string request_id = "Cassia-Request-Id";
     /// Time in milliseconds that the caller is willing to wait; forwarded with what is left of it.
     std::string deadline = "Cassia-Deadline";
-    /// Id of the endpoint that the request is meant for; any other endpoint refuses it.
+    /// Id of the endpoint that the request is meant for; any other endpoint rejects it.
     std::string expected_endpoint = "Cassia-Expect-Endpoint";
     /// Set by endpoints on their responses; shows that a response comes from an endpoint.
     std::string stamp = "Cassia-Stamp";
--- a/include/cassia/gateway/item_runner.h
+++ b/include/cassia/gateway/item_runner.h
@@ -31,7 +31,8 @@
 
     /// Requests leases of at most `limit` items of a batch route.
     std::function<void(const std::string& route, std::uint32_t limit, lease_done)> lease;
-    /// Reports the ends and the progress of items to the keepers.
+    /// Reports the ends and the progress of items to the keepers; `report_done` tells whether all
+    /// of it was stored. If not, the runner reports it again.
     std::function<void(const schema::items_end&, report_done)> report;
 };
 
@@ -50,12 +51,12 @@
     void cancel_jobs(const std::set<job_id>& jobs);
     /// Drops items whose leases were lost.
     void drop_stale(const schema::stale_items& stale);
-    /// Returns all items and requests no more leases.
+    /// Returns all items to the keepers and requests no more leases.
     void shut_down();
     /// The items held, including those whose end is not yet durable.
     schema::held_items held() const;
     std::size_t size() const { return items_.size(); }
-    /// Number of reports that are not yet durable.
+    /// Number of ends and saves of progress that the keepers have not yet stored.
     std::size_t unreported() const;
     std::size_t running() const;
 
@@ -73,7 +74,8 @@
     void on_body(const item_key& key, std::string_view bytes);
     void on_end(const item_key& key);
     void on_failure(const item_key& key, const net::raw_failure& failure);
-    /// Appends complete events to the item's text. \returns false if one is out of order.
+    /// Appends the data of complete events to the item's text. \returns false if one is out of
+    /// order.
     bool append_events(held_item& item, std::string_view bytes);
     void stop(held_item& item);
     /// Stops an item and makes it ready to start again after a delay.
@@ -93,7 +95,7 @@
     item_runner_hooks hooks_;
     std::shared_ptr<const routes::table> routes_;
     std::map<item_key, std::unique_ptr<held_item>> items_;
-    schema::items_end unsent_ends_;
+    schema::items_end unsent_ends_;    ///< ends and saves of progress
     schema::items_end ends_in_flight_; ///< sent, but not yet durable
     bool report_in_flight_ = false;
     bool lease_in_flight_ = false;
--- a/include/cassia/gateway/job_service.h
+++ b/include/cassia/gateway/job_service.h
@@ -30,8 +30,10 @@
     job_service(cluster_client& cluster, std::uint32_t work_groups);
 
     void submit(schema::job_submit submission, done_function done);
+    /// \param from position in the job's list of results, which grows as items end.
     void read_results(const job_id& job, const team_id& team, std::uint32_t from,
                       done_function done);
+    /// Reads an item as it was submitted, while it has not ended. \param item its custom id.
     void read_item(const job_id& job, const team_id& team, const std::string& item,
                    done_function done);
     void cancel(const job_id& job, const team_id& team, done_function done);
--- a/include/cassia/gateway/online_call.h
+++ b/include/cassia/gateway/online_call.h
@@ -19,17 +19,17 @@
 enum class call_phase : std::uint8_t {
     queued,     ///< waits for a slot
     sent,       ///< sent to an endpoint, nothing forwarded to the caller yet
-    responding, ///< part of the response was forwarded to the caller
+    responding, ///< forwarding of the response to the caller has begun
 };
 
-/// Migration of a run to another endpoint; see run_migration.h.
+/// State of the migration of a call's run to another endpoint; see run_migration.h.
 struct migration_state {
     bool attempted = false;
-    call_id pending_call; ///< the migration request, while it is unanswered
+    call_id pending_call; ///< the migration request, until its response is complete
     policy::placement target;
-    int status = 0;
-    std::string body;
-    bool stream_ended = false; ///< the run's stream ended before the migration was answered
+    int status = 0;            ///< of the response to the migration request
+    std::string body;          ///< of the same response
+    bool stream_ended = false; ///< the run's stream ended before that response
 };
 
 /// A request that was matched to a route and whose caller was identified.
@@ -59,26 +59,26 @@
     call_phase phase = call_phase::queued;
     std::uint32_t runs = 0;  ///< sends whose request may have been executed
     std::uint32_t sends = 0; ///< requests sent to endpoints, including those never executed
-    std::set<endpoint_id> failed_endpoints; ///< those that failed or refused this request
+    std::set<endpoint_id> failed_endpoints; ///< those that failed or rejected this request
     bool holds_slot = false;
-    endpoint_id endpoint;
+    endpoint_id endpoint; ///< of the last attempt
     http_address address;
     call_id upstream_call; ///< the request to the endpoint; none while there is none
     instant first_sent_at{};
     instant sent_at{};          ///< of the current attempt
-    instant last_reclaim_at{};  ///< when a batch item was last asked to yield its slot for it
-    instant last_progress_at{}; ///< when the endpoint last sent something
-    instant first_byte_at{};    ///< of the current attempt
+    instant last_reclaim_at{};  ///< when the attempt was sent or a batch item last asked to yield
+    instant last_progress_at{}; ///< when the attempt was sent or its endpoint last sent something
+    instant first_byte_at{};    ///< of the body; earlier than sent_at until the attempt has one
     instant response_began_at{};
 
     bool not_run = false;        ///< the response says that the request was not run
-    bool forwards_error = false; ///< the response is the endpoint's own error response
-    net::raw_head head;          ///< of the first attempt whose response began
-    std::string body;            ///< of a response that isn't a stream
+    bool forwards_error = false; ///< the response is an error, forwarded as it is
+    net::raw_head head;          ///< of the response; a resumed stream keeps the first one
+    std::string body;            ///< of a response that is an error or isn't a stream
     sse_parser parser;
     std::string buffered_events; ///< not yet forwarded, to be sent together with later ones
     instant buffered_since{};
-    std::uint64_t last_event = 0; ///< id of the last event forwarded or buffered
+    std::uint64_t last_event = 0; ///< id of the last event that the caller has or that is buffered
     instant last_event_at{};
     microseconds longest_pause{0}; ///< between two events
     migration_state migration;
--- a/include/cassia/gateway/quota_coordinator.h
+++ b/include/cassia/gateway/quota_coordinator.h
@@ -1,4 +1,5 @@
-/// Applies teams' quotas across all gateways: exchanges the messages of policy::quota_gate.
+/// Enforces teams' quotas across all gateways: exchanges the messages of policy::quota_gate. Each
+/// team's quota is owned by one gateway, which decides where the others can't decide by themselves.
 #pragma once
 
 #include "cassia/base/ids.h"
@@ -32,7 +33,7 @@
     policy::quota_decision admit(const team_id& team);
     /// Returns the token of a request that has not run and never will.
     void refund(const policy::quota_grant& grant);
-    /// Drops a pending question: the caller has disconnected.
+    /// Drops a pending question, by quota_decision::ask: the caller has disconnected.
     void cancel(std::uint64_t ask) { gate_.forget(ask); }
     /// Sends messages that are due and delivers decisions.
     void flush();
--- a/include/cassia/gateway/request_admission.h
+++ b/include/cassia/gateway/request_admission.h
@@ -28,10 +28,10 @@
 
     /// Decides on a request of an identified caller, at once or when the quota's owner replies.
     void submit(routed_request request);
-    /// Rejects a request whose key is unknown.
+    /// Responds with 401 and logs the key's short digest.
     void reject_unknown_key(exchange_id id, const net::raw_request& request);
     void on_quota_decision(const policy::quota_decision& decision);
-    /// The caller disconnected before its response was complete.
+    /// Drops the request if it still waits for a quota decision.
     void on_caller_gone(exchange_id id);
     std::size_t awaiting_quota() const { return awaiting_quota_.size(); }
 
--- a/include/cassia/gateway/service.h
+++ b/include/cassia/gateway/service.h
@@ -29,7 +29,8 @@
     /// Called for each request before it is matched to a route, once there is a routing table.
     /// \returns whether the hook responds to the request itself.
     std::function<bool(exchange_id, const net::raw_request&)> intercept_request;
-    /// Called for a request of a batch route. The team is null if the route requires no key.
+    /// Called to respond to a request that matches a batch route. The team is null if the route
+    /// requires no key.
     std::function<void(exchange_id, const net::raw_request&, const schema::route&,
                        const teams::team*)>
         on_batch_request;
@@ -67,8 +68,8 @@
     /// A request that arrived before there was a routing table.
     struct deferred_request {
         net::raw_request request;
-        instant expires_at{};                    ///< refused if there is no table by then
-        std::optional<milliseconds> retry_after; ///< sent with the refusal if the caller has time
+        instant expires_at{};                    ///< rejected if there is no table by then
+        std::optional<milliseconds> retry_after; ///< sent with the rejection if the caller has time
     };
 
     void defer(exchange_id id, net::raw_request request);
@@ -78,6 +79,7 @@
                                std::optional<milliseconds> retry_after);
     void on_admin_request(exchange_id id, const net::raw_request& request);
     void set_routes(std::shared_ptr<const routes::table> table);
+    /// \param holder of the slot; empty for this gateway.
     void request_yield(const entry_id& holder, const endpoint_id& endpoint);
     void lease(const std::string& route, std::uint32_t limit,
                const item_runner_hooks::lease_done& done);
--- a/lib/gateway/caller_identity.cpp
+++ b/lib/gateway/caller_identity.cpp
@@ -4,8 +4,8 @@
 
 namespace cassia::gateway {
 
-// A request with several keys counts as one without a key: another program might use another one of
-// them.
+// A request with several keys counts as one without a key: another program might pick a different
+// one of them.
 static std::string_view unique_key(const net::http_fields& fields, const header_names& names) {
     const auto key_count = std::count_if(fields.all().begin(), fields.all().end(),
                                          [&names](const net::http_field& field) {
--- a/lib/gateway/cluster_client.cpp
+++ b/lib/gateway/cluster_client.cpp
@@ -9,16 +9,19 @@
 namespace cassia::gateway {
 
 namespace {
-// Keepers list a gateway as serving for 0.9 s after its last hello, so two hellos may be lost.
+// Keepers list a gateway as serving for 0.9 s after its last heartbeat, so two heartbeats in a row
+// may be lost.
 constexpr milliseconds heartbeat_interval(250);
 constexpr milliseconds tick_interval(50);
+// Keepers that were neither heard nor listed for this long are removed.
 constexpr milliseconds keeper_expiry(10000);
-// Work keepers report only that they live, which groups they lead and which jobs must stop.
+// Work keepers only report that they are alive, which groups they lead and which jobs must stop, so
+// they get a heartbeat once a second.
 constexpr std::uint32_t rounds_per_work_keeper_heartbeat = 4;
-// All keepers of the control group tell the same. The others get a hello so that another one can be
-// followed at once, and in case that the one followed lags behind.
+// All keepers of the control group report the same state. Those not followed get a heartbeat too,
+// so that another one can be followed at once, and in case that the one followed lags behind.
 constexpr std::uint32_t rounds_per_heartbeat_to_all = 8;
-// Time of four hellos without any reply.
+// Four heartbeat intervals without a beacon of any control keeper.
 constexpr milliseconds control_lost_after(1000);
 // An endpoint that falls silent does not change the directory, so it is also checked periodically.
 constexpr milliseconds endpoint_check_interval(250);
@@ -107,7 +110,7 @@
     hub_.send(leader->second, envelope);
 }
 
-// A connection is watched the more closely the more often its keeper gets a hello.
+// The more often a keeper gets heartbeats, the more closely its connection is watched.
 net::peer_watch cluster_client::watch_for(const peer_address& keeper,
                                           const peer_address& followed) const {
     if (keeper == followed)
@@ -115,8 +118,8 @@
     return work_keepers_.count(keeper) > 0 ? net::peer_watch::steady : net::peer_watch::relaxed;
 }
 
-// While the followed keeper is out of touch with its group, all get a hello more often: any of them
-// may be the first to have the routing table.
+// While the followed keeper is out of touch with its group, all control keepers get heartbeats more
+// often: any of them may be the first to have the routing table.
 void cluster_client::send_heartbeat(heartbeat_scope scope) {
     const instant now = monotonic_now();
     const peer_address followed = followed_.choose(now);
@@ -183,7 +186,8 @@
     keepers_[from].clock_us = beacon.keeper_clock_us();
     const std::size_t known_before = work_keepers_.size();
     update_keepers(beacon, now);
-    // A new work keeper may have granted leases to this process without knowing that it lives.
+    // A work keeper that is new here may grant leases to this process without knowing that it is
+    // alive.
     if (work_keepers_.size() > known_before)
         send_heartbeat(heartbeat_scope::all_keepers);
     for (const std::uint32_t group : beacon.leads()) {
--- a/lib/gateway/dispatch_migration.cpp
+++ b/lib/gateway/dispatch_migration.cpp
@@ -54,9 +54,10 @@
     metrics_.count("run_moves_asked");
 }
 
-// With a handle the run was stopped. It resumes at the target, or, if the target had no room for
-// the copy, at the endpoint that ran it so far and still has its KV cache. Without a handle the run
-// continues where it is.
+// Also called if the migration request fails, with what was received until then. With a handle the
+// run was stopped. It resumes at the target, or, if the target had no room for the copy, at the
+// endpoint that ran it so far and still has its KV cache. Without a handle the run continues where
+// it is.
 void dispatcher::on_migration_response(exchange_id id) {
     auto found = calls_.find(id);
     if (found == calls_.end())
--- a/lib/gateway/dispatch_responses.cpp
+++ b/lib/gateway/dispatch_responses.cpp
@@ -18,7 +18,7 @@
     return status >= 200 && status < status_redirection;
 }
 
-// A late duplicate response may arrive on a kept connection in place of the next response.
+// A late duplicate response may arrive on a reused connection in place of the next response.
 // Responses repeat the request id, which shows the request that they belong to.
 bool dispatcher::is_response_to(const online_call& call, const net::raw_head& head) const {
     return head.fields.find(names_.request_id) == call.request_id;
@@ -41,7 +41,8 @@
         retry_or_fail(call, "answer_of_another_request");
         return;
     }
-    // Endpoints stamp their responses; one without the stamp may come from another program.
+    // Endpoints stamp their responses: one without the stamp may come from another program. The
+    // events of an encoded body can't be read.
     if (!head.fields.has(names_.stamp) || head.fields.has("Content-Encoding")) {
         retry_or_fail(call, "unproved_answer");
         return;
@@ -109,6 +110,8 @@
 // last complete one, and the caller must not receive the start of the broken event twice.
 bool dispatcher::forward_events(online_call& call, std::string_view bytes) {
     for (const sse_event& event : call.parser.feed(bytes)) {
+        // The first event of a new stream may have any id. Later events, and those of a resumed
+        // stream, must follow without a gap.
         const bool numbered = event.id != 0;
         const bool expected = event.id == call.last_event + 1;
         if (numbered && !expected && (call.last_event != 0 || event.id < call.last_event))
--- a/lib/gateway/dispatch_timeouts.cpp
+++ b/lib/gateway/dispatch_timeouts.cpp
@@ -15,13 +15,16 @@
 // endpoint the request may first wait until others have run.
 constexpr milliseconds inactivity_timeout_free_slot(350);
 constexpr milliseconds inactivity_timeout_full_endpoint(1000);
-// Multiple of the target time for a response that is not a stream: it sends nothing until complete.
+// Inactivity timeout of a response that is not a stream, in multiples of the target time: nothing
+// is sent before such a response is complete.
 constexpr int inactivity_timeout_targets = 2;
 // A pause between events may last 400 ms. This limit is longer than a lost packet takes (200 ms
 // plus the usual pause) and leaves a resumed run 80 ms for its first event.
 constexpr milliseconds min_inactivity_timeout_between_events(320);
+// The same limit in multiples of the longest pause of the stream, if that is longer.
 constexpr int inactivity_timeout_pauses = 4;
-// An endpoint under light load begins its response within about 30 ms.
+// Time without a response after which a batch item is asked to yield, and interval of further
+// requests. An endpoint under light load begins its response within about 30 ms.
 constexpr milliseconds reclaim_delay(60);
 constexpr int status_timeout = 504;
 } // namespace
@@ -65,7 +68,7 @@
     retry_or_fail(call, "endpoint_silent");
 }
 
-// The last attempt is not ended for inactivity: there would be no other one after it.
+// The last attempt is not ended for inactivity: no other attempt could follow it.
 bool dispatcher::may_retry(const online_call& call) const {
     return call.is_repeatable() && call.runs < call.route->max_attempts();
 }
--- a/lib/gateway/dispatcher.cpp
+++ b/lib/gateway/dispatcher.cpp
@@ -18,11 +18,12 @@
 // Time from sending to the first event at a free slot under light load: connection, prompt
 // processing and the first tokens.
 constexpr milliseconds first_event_time(60);
-// A request sent with less time left than this ends before it can be answered.
+// A request sent with less time left than this reaches its deadline before its response.
 constexpr milliseconds min_remaining_time(50);
 // Attempts that reach no endpoint cost little, but each may take as long as the connect timeout.
 constexpr std::uint32_t max_sends = 6;
-// Slots become free all the time: after this time the caller is as likely to get one as any other.
+// Sent to rejected callers. Slots become free all the time: after this time the caller is as likely
+// to get one as any other.
 constexpr milliseconds retry_after(400);
 constexpr int status_server_error = 500;
 constexpr int status_unavailable = 503;
@@ -193,8 +194,8 @@
 void dispatcher::retry_not_run(online_call& call, const std::string& cause) {
     cancel_attempt(call);
     --call.runs;
-    // An earlier endpoint ran it, and this one, which was to continue that run, did not. Any
-    // further attempt would be a second run.
+    // Its run was stopped at an earlier endpoint, and this one, which was to continue it, did not.
+    // Any further attempt would be a second run.
     if (call.runs > 0 && !call.is_repeatable()) {
         fail(call, status_bad_gateway, cause);
         return;
@@ -271,7 +272,8 @@
     close(id);
 }
 
-// Cancels the attempt, if there is one, so that the endpoint stops working on it.
+// Removes the call without a response. Cancels its attempt, if there is one, so that the endpoint
+// stops working on it.
 void dispatcher::close(exchange_id id) {
     auto found = calls_.find(id);
     if (found == calls_.end())
--- a/lib/gateway/held_item.h
+++ b/lib/gateway/held_item.h
@@ -16,16 +16,16 @@
     schema::leased_item leased;
     call_id upstream_call; ///< the request to the endpoint; none while the item is not running
     endpoint_id endpoint;
-    std::set<endpoint_id> failed_endpoints; ///< those that failed or refused this item
+    std::set<endpoint_id> failed_endpoints; ///< those that failed or rejected this item
     instant ready_at{};                     ///< not started again before then
-    instant last_progress_at{};             ///< when the endpoint last sent something
-    std::uint64_t start_number = 0;         ///< grows with each start of any item
-    std::uint32_t runs = 0;                 ///< starts of this item by this gateway
-    int status = 0;                         ///< of the response that is being received
-    bool not_run = false;                   ///< the response says that the item was not run
+    instant last_progress_at{};     ///< when it was started or its endpoint last sent something
+    std::uint64_t start_number = 0; ///< grows with each start of any item; the last yields first
+    std::uint32_t runs = 0;         ///< starts of this item by this gateway
+    int status = 0;                 ///< of the response that is being received
+    bool not_run = false;           ///< the response says that the item was not run
 
     sse_parser parser;
-    std::uint64_t last_event = 0;
+    std::uint64_t last_event = 0;  ///< id of the last complete event in `text`
     std::uint64_t saved_event = 0; ///< last event that was reported to the keepers
     instant saved_at{};
     std::string text; ///< data of all complete events, joined by line feeds
--- a/lib/gateway/item_responses.cpp
+++ b/lib/gateway/item_responses.cpp
@@ -13,9 +13,11 @@
 constexpr int status_misdirected = 421;
 constexpr int status_unprocessable = 422;
 constexpr int status_server_error = 500;
-// Delay before an item that an endpoint refused is started again.
+// Delay before an item is started again after a rejection by an endpoint, which may be full or shut
+// down, or after a response that can't be used.
 constexpr milliseconds unusable_response_delay(100);
-// An item whose connection broke may itself crash endpoints: the delay grows with each run.
+// Delay after a failed response or a broken connection. An item whose connection broke may itself
+// crash endpoints: then the delay is multiplied by the number of its runs, up to max_delay_factor.
 constexpr milliseconds failure_delay(150);
 constexpr std::uint32_t max_delay_factor = 20;
 } // namespace
--- a/lib/gateway/item_runner.cpp
+++ b/lib/gateway/item_runner.cpp
@@ -116,8 +116,8 @@
     const item_key key{job_id(leased.job()), leased.ordinal()};
     auto found = items_.find(key);
     if (found != items_.end()) {
-        // The item was leased again while a report of its previous lease is in flight; that lease
-        // is no longer valid.
+        // The item was leased to this gateway again while it was still held under an earlier lease.
+        // The keepers ignore reports of the earlier attempt.
         stop(*found->second);
         items_.erase(found);
     }
@@ -143,6 +143,7 @@
             ready.emplace_back(policy::is_late(keyed_item.second->leased.deadline(), unix_ms),
                                keyed_item.second->leased.deadline(), keyed_item.first);
     }
+    // By deadline, items without one first; those that would end too late come last.
     std::sort(ready.begin(), ready.end());
     for (const std::tuple<bool, std::uint64_t, item_key>& candidate : ready) {
         const item_key& key = std::get<item_key>(candidate);
@@ -184,6 +185,7 @@
         service, item.failed_endpoints, now, uniform(random_),
         policy::is_urgent(item.leased.deadline(), route->result_due_ms(), to_unix_ms(wall_now())));
     if (!placement) {
+        // The other endpoints have no free slot: those that failed may be tried again.
         item.failed_endpoints.clear();
         return false;
     }
@@ -251,7 +253,7 @@
             keys.push_back(keyed_item.first);
     }
     for (const item_key& key : keys) {
-        items_.at(key)->last_event = 0; // the item will not be resumed
+        items_.at(key)->last_event = 0; // no resume follows, so the partial text is not reported
         finish(key, schema::pending, false, "job_ended");
     }
     send_reports();
--- a/lib/gateway/service.cpp
+++ b/lib/gateway/service.cpp
@@ -22,6 +22,7 @@
 constexpr milliseconds traffic_log_interval(10000);
 // Item ends that no leader has stored within this time are sent again.
 constexpr milliseconds report_timeout(3000);
+// A lease request without a reply for this long counts as one that was granted nothing.
 constexpr milliseconds lease_timeout(2500);
 // Some callers use a list of gateways for three times its maximum age.
 constexpr int max_list_ages = 3;
@@ -218,7 +219,7 @@
 }
 
 // Without a routing table a request can't be matched. It is kept until there is a table or it
-// expires, and is then refused as not run.
+// expires, and is then rejected without having run.
 void service::defer(exchange_id id, net::raw_request request) {
     const instant now = monotonic_now();
     const milliseconds remaining =
@@ -343,9 +344,9 @@
     items_->tick(now, wall_now());
 }
 
-// Callers may connect for as long as they use a list that contains this gateway. After that new
-// connections are refused, open requests are answered, and the process exits before the grace
-// period ends, at which it would be killed.
+// Callers may connect for as long as they use a list that contains this gateway. After that no new
+// connections are accepted, open requests are completed, and the process exits before the end of
+// the grace period, when it would be killed.
 void service::shut_down() {
     if (shutting_down_)
         return;
--- a/lib/gateway/usage_coordinator.cpp
+++ b/lib/gateway/usage_coordinator.cpp
@@ -48,6 +48,7 @@
 }
 
 void usage_coordinator::send(const usage_message& message) {
+    // A relay passes the sum of its own zone to its own slot table.
     if (message.to == self_) {
         for (const policy::zone_uses::value_type& zone_use : message.zones)
             hooks_.on_usage(policy::usage_exchange::zone_key(zone_use.first), *zone_use.second);
@@ -111,6 +112,7 @@
     request->set_slots(slots);
     if (hooks_.send(holder, envelope))
         return;
+    // The holder is a zone, or a gateway that is no longer listed: a relay chooses the gateway.
     request->set_any_gateway(true);
     if (const std::optional<entry_id> relay = exchange_.relay())
         hooks_.send(*relay, envelope);
@@ -125,7 +127,8 @@
         hooks_.on_yield_request(endpoint_id(request.endpoint()), request.slots());
 }
 
-// Asks, slot by slot, the gateway that has most batch items at the endpoint.
+// Requests each slot from the gateway of this zone that reported the most batch items at the
+// endpoint, or, if none has any there, from the relay of another zone.
 void usage_coordinator::forward_yield_request(const schema::yield_request& request) {
     for (std::uint32_t i = 0; i < request.slots(); ++i) {
         const std::optional<policy::yield_target> target =
