--- a/include/cassia/gateway/cluster_client.h
+++ b/include/cassia/gateway/cluster_client.h
@@ -73,7 +73,7 @@
     quota_coordinator& quota() { return quota_; }
 
     /// Name under which this process holds leases; a different one after each start.
-    const std::string& holder() const { return holder_; }
+    const std::string& lease_holder() const { return lease_holder_; }
     const net::peer_hub& peers() const { return hub_; }
     bool heard_control_keepers() const { return last_control_beacon_at_ != instant(); }
     bool knows_work_keepers() const { return !work_keepers_.empty(); }
@@ -110,7 +110,7 @@
     schema::gateway_settings settings_;
     cluster_hooks hooks_;
     std::uint64_t incarnation_;
-    std::string holder_;
+    std::string lease_holder_;
     net::peer_hub hub_;
     entry::keeper_client keeper_client_;
     std::set<peer_address> seeds_;
--- a/include/cassia/gateway/dispatcher.h
+++ b/include/cassia/gateway/dispatcher.h
@@ -88,7 +88,7 @@
     void on_migration_response(exchange_id id);
     bool defer_end_to_migration(online_call& call);
     void cancel_migration(online_call& call);
-    void finish_buffered_response(online_call& call);
+    void forward_complete_response(online_call& call);
     /// The attempt certainly did not run.
     void retry_not_run(online_call& call, const std::string& cause);
     /// The attempt may have run.
--- a/lib/gateway/cluster_client.cpp
+++ b/lib/gateway/cluster_client.cpp
@@ -36,7 +36,7 @@
 cluster_client::cluster_client(net::task& owner, const schema::gateway_settings& settings,
                                cluster_hooks hooks)
     : owner_(owner), settings_(settings), hooks_(std::move(hooks)), incarnation_(incarnation_now()),
-      holder_(settings.name() + "/" + std::to_string(incarnation_)),
+      lease_holder_(settings.name() + "/" + std::to_string(incarnation_)),
       hub_(owner,
            {settings.name(), peer_address(settings.peer_address()), peer_address(),
             settings.cluster().secret(), settings.cluster().security() != "none"},
@@ -102,7 +102,7 @@
     auto leader = leaders_.find(group);
     if (leader == leaders_.end())
         return;
-    held.set_holder(holder_);
+    held.set_holder(lease_holder_);
     held.set_keeper_clock_us(keepers_[leader->second].clock_us);
     schema::envelope envelope;
     envelope.mutable_request()->set_group(static_cast<std::uint32_t>(group.value()));
--- a/lib/gateway/dispatch_responses.cpp
+++ b/lib/gateway/dispatch_responses.cpp
@@ -142,7 +142,7 @@
         return;
     }
     if (!call.is_stream() || call.forwards_error) {
-        finish_buffered_response(call);
+        forward_complete_response(call);
         return;
     }
     if (call.parser.has_partial_event()) {
@@ -159,7 +159,7 @@
     server_.end(id);
 }
 
-void dispatcher::finish_buffered_response(online_call& call) {
+void dispatcher::forward_complete_response(online_call& call) {
     const bool retry = call.head.status >= status_server_error && call.is_repeatable() &&
                        call.runs < call.route->max_attempts() &&
                        monotonic_now() < call.send_deadline;
--- a/lib/gateway/item_runner.cpp
+++ b/lib/gateway/item_runner.cpp
@@ -17,7 +17,7 @@
 namespace {
 // Limit of items that wait for a slot at this gateway. It is low because other gateways can lease
 // only the items that are still with the keepers.
-constexpr std::uint32_t max_ready = 2;
+constexpr std::uint32_t max_ready_items = 2;
 constexpr milliseconds lease_interval(100);
 // Interval at which the progress of running items is saved. If the gateway crashes, what came after
 // is run again.
@@ -90,14 +90,15 @@
         items_.size() >= max_items_)
         return;
     const std::size_t ready = items_.size() - running();
-    if (ready >= max_ready)
+    if (ready >= max_ready_items)
         return;
     for (const schema::route* route : routes_->of_kind(schema::route::batch)) {
         const service_id service(route->targets(0).service());
         const std::uint32_t room = slots_.batch_room(service, now);
         if (room == 0)
             continue;
-        const std::uint32_t limit = std::min(room, max_ready - static_cast<std::uint32_t>(ready));
+        const std::uint32_t limit =
+            std::min(room, max_ready_items - static_cast<std::uint32_t>(ready));
         lease_in_flight_ = true;
         hooks_.lease(route->name(), limit, [this](const std::vector<schema::leased_item>& items) {
             lease_in_flight_ = false;
--- a/lib/gateway/service.cpp
+++ b/lib/gateway/service.cpp
@@ -287,7 +287,7 @@
     // Each request goes to one work group; successive requests go through all groups.
     schema::keeper_request request;
     request.set_group(1 + lease_requests_++ % settings_.cluster().work_groups());
-    request.mutable_lease()->set_holder(cluster_->holder());
+    request.mutable_lease()->set_holder(cluster_->lease_holder());
     schema::lease_want* want = request.mutable_lease()->add_wants();
     want->set_service(route);
     want->set_limit(limit);
@@ -314,7 +314,7 @@
     entry::ask_options options;
     options.patience = report_timeout;
     for (std::pair<const group_id, schema::items_end>& part : by_group) {
-        part.second.set_holder(cluster_->holder());
+        part.second.set_holder(cluster_->lease_holder());
         part.second.set_at(to_unix_ms(wall_now()));
         schema::keeper_request request;
         request.set_group(static_cast<std::uint32_t>(part.first.value()));
