--- a/unittests/gateway/caller_identity_test.cpp
+++ b/unittests/gateway/caller_identity_test.cpp
@@ -75,13 +75,14 @@
     CHECK(identified_team(table, "/keyed/x", {}) == "anybody");
 }
 
-TEST_CASE("a request with two keys is rejected", "[gateway]") {
+TEST_CASE("a request with two keys is rejected even if a team has both", "[gateway]") {
     net::http_fields fields = with_key("k1");
     fields.add("Cassia-Key", "k1");
     CHECK(identified_team(sample_table(), "/keyed/x", fields) == "rejected");
 }
 
-TEST_CASE("endpoints get the team set by the gateway and never the key", "[gateway]") {
+TEST_CASE("endpoints get the team set by the gateway, never a forged one and never the key",
+          "[gateway]") {
     net::http_fields fields = with_key("k1");
     fields.add("CASSIA-TEAM", "forged");
     fields.add("Cassia-Team", "forged too");
@@ -95,7 +96,8 @@
     CHECK_FALSE(fields.has("Cassia-Team"));
 }
 
-TEST_CASE("the short digest of a key tells keys apart without revealing them", "[gateway]") {
+TEST_CASE("the short key digest in logs differs between keys and is empty without a key",
+          "[gateway]") {
     CHECK(short_key_digest(with_key("k1"), header_names()).size() == 8);
     CHECK(short_key_digest(with_key("k1"), header_names()) !=
           short_key_digest(with_key("k2"), header_names()));
--- a/unittests/gateway/sse_parser_test.cpp
+++ b/unittests/gateway/sse_parser_test.cpp
@@ -45,7 +45,7 @@
 
 // When an endpoint crashes within an event, another one resumes the stream after the last complete
 // event. If the parser kept the partial event, the caller would receive it joined to the next one.
-TEST_CASE("the SSE parser holds back a partial event until it is reset", "[events]") {
+TEST_CASE("the SSE parser holds back a partial event and discards it when reset", "[events]") {
     sse_parser parser;
     CHECK(parser.feed("id: 1\ndata: a\n\nid: 2\nda").size() == 1);
     CHECK(parser.has_partial_event());
