--- a/include/cassia/gateway/sse_parser.h
+++ b/include/cassia/gateway/sse_parser.h
@@ -21,7 +21,8 @@
     std::vector<sse_event> feed(std::string_view bytes);
     /// Whether the last event received is incomplete.
     bool has_partial_event() const { return !buffer_.empty(); }
-    /// Discards an incomplete event, so that the parser can read another stream.
+    /// Discards an incomplete event, whose source is gone, so that the parser can read another
+    /// stream.
     void reset();
 
 private:
