--- a/include/cassia/gateway/cluster_client.h
+++ b/include/cassia/gateway/cluster_client.h
@@ -53,7 +53,8 @@
     /// Opens the socket and sends the first heartbeat. \returns an empty string or an error
     /// message.
     std::string open();
-    /// Announces that this gateway is draining, so that keepers no longer list it as serving.
+    /// Announces that this gateway is draining, so that keepers no longer list it as serving, and
+    /// gives up its quotas and its role as a relay.
     void leave();
     /// Replaces the seeds after a change of settings.
     void set_seeds(const std::vector<std::string>& seeds);
