--- a/include/cassia/gateway/cluster_client.h
+++ b/include/cassia/gateway/cluster_client.h
@@ -1,5 +1,6 @@
-/// A gateway's communication with the keepers and with other gateways: receives routes, endpoints,
-/// gateways and events of jobs, and sends requests to the keepers.
+/// A gateway's communication with the keepers and with other gateways. The keepers send it the
+/// routing table, the lists of endpoints and gateways and the jobs to cancel, and reply to its
+/// requests. With other gateways it exchanges slot usage and quota messages.
 #pragma once
 
 #include "cassia/base/clock.h"
@@ -49,9 +50,11 @@
     cluster_client(net::task& owner, const schema::gateway_settings& settings, cluster_hooks hooks);
     ~cluster_client();
 
-    /// Opens the socket and sends the first hello. \returns an empty string or an error message.
+    /// Opens the socket and sends the first heartbeat. \returns an empty string or an error
+    /// message.
     std::string open();
-    /// Announces that this gateway is draining, so that keepers no longer list it as serving.
+    /// Announces that this gateway is draining, so that keepers no longer list it as serving, and
+    /// gives up its quotas and its role as a relay.
     void leave();
     /// Replaces the seeds after a change of settings.
     void set_seeds(const std::vector<std::string>& seeds);
@@ -71,7 +74,7 @@
     quota_coordinator& quota() { return quota_; }
 
     /// Name under which this process holds leases; a different one after each start.
-    const std::string& holder() const { return holder_; }
+    const std::string& lease_holder() const { return lease_holder_; }
     const net::peer_hub& peers() const { return hub_; }
     bool heard_control_keepers() const { return last_control_beacon_at_ != instant(); }
     bool knows_work_keepers() const { return !work_keepers_.empty(); }
@@ -86,6 +89,8 @@
         instant last_beacon_at{};
     };
 
+    /// Keepers that get a heartbeat. The followed keeper is the one of the control group from which
+    /// this gateway copies the list of gateways; see membership::followed_keeper.
     enum class heartbeat_scope { followed_keeper, work_keepers, all_keepers };
     void send_heartbeat(heartbeat_scope scope);
     net::peer_watch watch_for(const peer_address& keeper, const peer_address& followed) const;
@@ -106,7 +111,7 @@
     schema::gateway_settings settings_;
     cluster_hooks hooks_;
     std::uint64_t incarnation_;
-    std::string holder_;
+    std::string lease_holder_;
     net::peer_hub hub_;
     entry::keeper_client keeper_client_;
     std::set<peer_address> seeds_;
--- a/lib/gateway/item_runner.cpp
+++ b/lib/gateway/item_runner.cpp
@@ -17,7 +17,7 @@
 namespace {
 // Limit of items that wait for a slot at this gateway. It is low because other gateways can lease
 // only the items that are still with the keepers.
-constexpr std::uint32_t max_ready = 2;
+constexpr std::uint32_t max_ready_items = 2;
 constexpr milliseconds lease_interval(100);
 // Interval at which the progress of running items is saved. If the gateway crashes, what came after
 // is run again.
@@ -90,14 +90,15 @@
         items_.size() >= max_items_)
         return;
     const std::size_t ready = items_.size() - running();
-    if (ready >= max_ready)
+    if (ready >= max_ready_items)
         return;
     for (const schema::route* route : routes_->of_kind(schema::route::batch)) {
         const service_id service(route->targets(0).service());
         const std::uint32_t room = slots_.batch_capacity(service, now);
         if (room == 0)
             continue;
-        const std::uint32_t limit = std::min(room, max_ready - static_cast<std::uint32_t>(ready));
+        const std::uint32_t limit =
+            std::min(room, max_ready_items - static_cast<std::uint32_t>(ready));
         lease_in_flight_ = true;
         hooks_.lease(route->name(), limit, [this](const std::vector<schema::leased_item>& items) {
             lease_in_flight_ = false;
@@ -116,8 +117,8 @@
     const item_key key{job_id(leased.job()), leased.ordinal()};
     auto found = items_.find(key);
     if (found != items_.end()) {
-        // The item was leased again while a report of its previous lease is in flight; that lease
-        // is no longer valid.
+        // The item was leased to this gateway again while it was still held under an earlier lease.
+        // The keepers ignore reports of the earlier attempt.
         stop(*found->second);
         items_.erase(found);
     }
@@ -143,6 +144,7 @@
             ready.emplace_back(policy::would_miss_deadline(keyed_item.second->leased.deadline(), unix_ms),
                                keyed_item.second->leased.deadline(), keyed_item.first);
     }
+    // By deadline, items without one first; those that would end too late come last.
     std::sort(ready.begin(), ready.end());
     for (const std::tuple<bool, std::uint64_t, item_key>& candidate : ready) {
         const item_key& key = std::get<item_key>(candidate);
@@ -184,6 +186,7 @@
         service, item.failed_endpoints, now, uniform(random_),
         policy::is_urgent(item.leased.deadline(), route->result_due_ms(), to_unix_ms(wall_now())));
     if (!placement) {
+        // The other endpoints have no free slot: those that failed may be tried again.
         item.failed_endpoints.clear();
         return false;
     }
@@ -251,7 +254,7 @@
             keys.push_back(keyed_item.first);
     }
     for (const item_key& key : keys) {
-        items_.at(key)->last_event = 0; // the item will not be resumed
+        items_.at(key)->last_event = 0; // no resume follows, so the partial text is not reported
         finish(key, schema::pending, false, "job_ended");
     }
     send_reports();
