--- a/include/cassia/keeper/service.h
+++ b/include/cassia/keeper/service.h
@@ -95,14 +95,14 @@
         std::unique_ptr<work_leader> leader;
     };
     struct known_gateway {
-        schema::entry_hello hello; ///< last heartbeat
-        instant last_seen{};       ///< by this keeper or another one
-        instant last_heartbeat{};  ///< received by this keeper
+        schema::entry_hello heartbeat;   ///< last heartbeat
+        instant last_seen{};             ///< by this keeper or another one
+        instant heartbeat_received_at{}; ///< received by this keeper
         route_table_delivery route_table;
         bool listed = false; ///< whether callers are directed to it, as last logged
     };
     struct known_keeper {
-        schema::keeper_hello hello;
+        schema::keeper_hello heartbeat;
         instant last_seen{};
     };
     /// An announcement that is acknowledged once a majority of the control group has it.
@@ -142,9 +142,9 @@
     void propose_claim(const schema::work_command& command, group_id group,
                        const group_replica::reply_callback& reply);
     std::string leader_node(const group_replica& replica) const;
-    void queue_heartbeat(const schema::entry_hello& hello);
+    void queue_heartbeat(const schema::entry_hello& heartbeat);
     void answer_queued_heartbeats();
-    void on_gateway_hello(const schema::entry_hello& hello);
+    void on_gateway_heartbeat(const schema::entry_hello& heartbeat);
     void send_beacon(known_gateway& gateway);
     void write_control_state(const known_gateway& gateway, schema::keeper_beacon& beacon) const;
     void write_gateways(const known_gateway& gateway, schema::keeper_beacon& beacon) const;
@@ -168,12 +168,12 @@
     /// Refreshes, at most once per `list_refresh_interval`, what would otherwise be computed for
     /// each heartbeat: the list of live gateways, and the digest of the list of keepers.
     void refresh_lists(instant now);
-    void on_keeper_hello(const schema::keeper_hello& hello);
-    void send_keeper_hello(const peer_address& to);
+    void on_keeper_heartbeat(const schema::keeper_hello& heartbeat);
+    void send_keeper_heartbeat(const peer_address& to);
     void on_config_applied();
     void schedule_beacon_push();
     void push_beacons();
-    bool holds_items(const schema::entry_hello& hello) const;
+    bool holds_items(const schema::entry_hello& heartbeat) const;
     void write_sightings(schema::keeper_news& news) const;
     void merge_sightings(const schema::keeper_news& news, instant now);
 
@@ -188,10 +188,10 @@
     bool hosts_work() const { return settings_.groups() != "control"; }
     bool uses_seeds() const { return settings_.cluster().seed_size() > 0; }
     std::size_t group_size() const { return 2 * std::size_t{settings_.tolerated_losses()} + 1; }
-    std::vector<peer_address> hello_targets() const;
+    std::vector<peer_address> heartbeat_targets() const;
     /// Whether the work groups exist, and this keeper is a member of none of them.
     bool is_idle_spare() const;
-    void record_keeper(const schema::keeper_hello& hello, instant seen);
+    void record_keeper(const schema::keeper_hello& heartbeat, instant seen);
     void send_news(const peer_address& to, const known_keeper& keeper);
     void on_news(const schema::keeper_news& news);
     void push_news();
@@ -204,12 +204,13 @@
     void answer_pending_announcements();
     void restore_endpoints();
     void save_endpoints();
-    schema::keeper_hello own_hello(const peer_address& to) const;
+    schema::keeper_hello own_heartbeat(const peer_address& to) const;
     /// Disks of the members of the work groups.
     std::set<std::uint64_t> work_group_disks(instant now) const;
     /// Whether a keeper is a member of no group and stands by to replace one.
     /// \param members disks of the members of the work groups.
-    static bool is_spare(const schema::keeper_hello& hello, const std::set<std::uint64_t>& members);
+    static bool is_spare(const schema::keeper_hello& heartbeat,
+                         const std::set<std::uint64_t>& members);
     std::uint64_t compute_keepers_digest() const;
 
     schema::keeper_settings settings_;
@@ -251,10 +252,10 @@
     heartbeat_queue heartbeat_queue_;
     bool heartbeats_scheduled_ = false;
     bool beacon_push_scheduled_ = false;
-    instant last_push_{};               ///< of beacons, because of a change
-    microseconds min_push_interval_{0}; ///< from the last push to the next
-    bool work_groups_formed_ = false;   ///< as the control group reports
-    std::uint32_t hello_rounds_ = 0;    ///< while this keeper is an idle spare
+    instant last_push_{};                ///< of beacons, because of a change
+    microseconds min_push_interval_{0};  ///< from the last push to the next
+    bool work_groups_formed_ = false;    ///< as the control group reports
+    std::uint32_t heartbeat_rounds_ = 0; ///< while this keeper is an idle spare
     bool stopping_ = false;
     int exit_code_ = 0;
 };
--- a/lib/keeper/service.cpp
+++ b/lib/keeper/service.cpp
@@ -12,10 +12,10 @@
 namespace {
 using state::control_group;
 constexpr milliseconds tick_interval(25);
-constexpr milliseconds keeper_hello_interval(300);
+constexpr milliseconds keeper_heartbeat_interval(300);
 // An idle spare sends a hello only in every third interval: it reports nothing but that it is
 // alive.
-constexpr std::uint32_t spare_hello_divisor = 3;
+constexpr std::uint32_t standby_heartbeat_divisor = 3;
 // Replacing a lost member takes three membership changes, one per interval. Platforms allow five
 // seconds for a replacement.
 constexpr milliseconds membership_check_interval(200);
@@ -200,12 +200,12 @@
     net::on_signal(task_, SIGINT, [this] { shut_down(); });
     net::on_signal(task_, SIGUSR1, [this] { log_info("state_dump").with("dump", dump()); });
     task_.every(tick_interval, [this] { tick(); });
-    task_.every(keeper_hello_interval, [this] {
+    task_.every(keeper_heartbeat_interval, [this] {
         if (hosts_control())
             try_bootstrap();
-        if (!is_idle_spare() || ++hello_rounds_ % spare_hello_divisor == 0) {
-            for (const peer_address& keeper : hello_targets())
-                send_keeper_hello(keeper);
+        if (!is_idle_spare() || ++heartbeat_rounds_ % standby_heartbeat_divisor == 0) {
+            for (const peer_address& keeper : heartbeat_targets())
+                send_keeper_heartbeat(keeper);
         }
         answer_pending_announcements();
         log_listed_gateways();
--- a/lib/keeper/service_api.cpp
+++ b/lib/keeper/service_api.cpp
@@ -140,9 +140,9 @@
     for (pending_announcement& announcement : pending_announcements_) {
         std::size_t acknowledged = 1;
         for (const std::pair<const std::string, known_keeper>& keeper : keepers_) {
-            const schema::keeper_hello& hello = keeper.second.hello;
-            if (hello.control() && hello.directory_epoch() == directory_epoch_ &&
-                hello.directory_revision() >= announcement.revision)
+            const schema::keeper_hello& heartbeat = keeper.second.heartbeat;
+            if (heartbeat.control() && heartbeat.directory_epoch() == directory_epoch_ &&
+                heartbeat.directory_revision() >= announcement.revision)
                 ++acknowledged;
         }
         const bool majority_has_it = acknowledged >= members / 2 + 1;
@@ -159,7 +159,8 @@
 const service::known_keeper* service::find_work_keeper(const std::string& name) const {
     const known_keeper* found = nullptr;
     for (const std::pair<const std::string, known_keeper>& keeper : keepers_) {
-        const bool matches = keeper.second.hello.work() && keeper.second.hello.name() == name;
+        const bool matches =
+            keeper.second.heartbeat.work() && keeper.second.heartbeat.name() == name;
         if (matches && (found == nullptr || keeper.second.last_seen > found->last_seen))
             found = &keeper.second;
     }
@@ -188,12 +189,12 @@
         done({retire_outcome::not_found, ""});
         return;
     }
-    const disk_id disk(keeper->hello.disk());
+    const disk_id disk(keeper->heartbeat.disk());
     const std::set<disk_id> retiring = retiring_disks();
     std::size_t remaining = 0;
     for (const std::pair<const std::string, known_keeper>& other_keeper : keepers_) {
-        const disk_id other_disk(other_keeper.second.hello.disk());
-        const bool stays = other_keeper.second.hello.work() &&
+        const disk_id other_disk(other_keeper.second.heartbeat.disk());
+        const bool stays = other_keeper.second.heartbeat.work() &&
                            now - other_keeper.second.last_seen < keeper_timeout &&
                            other_disk != disk && retiring.count(other_disk) == 0;
         remaining += stays ? 1 : 0;
@@ -231,7 +232,7 @@
     for (const std::pair<const std::string, known_keeper>& keeper : keepers_) {
         if (now - keeper.second.last_seen >= group_view_timeout)
             continue;
-        for (const schema::group_view& view : keeper.second.hello.leads()) {
+        for (const schema::group_view& view : keeper.second.heartbeat.leads()) {
             const schema::group_view*& latest = views[view.group()];
             if (latest == nullptr || view.term() > latest->term())
                 latest = &view;
@@ -250,7 +251,7 @@
 }
 
 bool service::is_serving(const known_gateway& gateway, instant now) const {
-    return now - gateway.last_seen < gateway_serving_timeout && !gateway.hello.draining();
+    return now - gateway.last_seen < gateway_serving_timeout && !gateway.heartbeat.draining();
 }
 
 std::vector<schema::entry_hello> service::serving_gateways() const {
@@ -258,7 +259,7 @@
     const instant now = monotonic_now();
     for (const std::pair<const std::string, known_gateway>& gateway : gateways_) {
         if (is_serving(gateway.second, now))
-            serving.push_back(gateway.second.hello);
+            serving.push_back(gateway.second.heartbeat);
     }
     return serving;
 }
@@ -273,8 +274,8 @@
         gateway.second.listed = listed;
         log_info(listed ? "entry_heard" : "entry_silent")
             .with("entry", gateway.first)
-            .with("incarnation", gateway.second.hello.incarnation())
-            .with("draining", gateway.second.hello.draining() ? 1 : 0)
+            .with("incarnation", gateway.second.heartbeat.incarnation())
+            .with("draining", gateway.second.heartbeat.draining() ? 1 : 0)
             .with("age_ms",
                   std::chrono::duration_cast<milliseconds>(now - gateway.second.last_seen).count());
     }
--- a/lib/keeper/service_discovery.cpp
+++ b/lib/keeper/service_discovery.cpp
@@ -19,7 +19,7 @@
 constexpr milliseconds candidate_gathering_time(700);
 } // namespace
 
-std::vector<peer_address> service::hello_targets() const {
+std::vector<peer_address> service::heartbeat_targets() const {
     std::set<peer_address> targets;
     for (const schema::peer_settings& keeper : settings_.cluster().keeper())
         targets.insert(peer_address(keeper.address()));
@@ -30,8 +30,8 @@
     if (uses_seeds()) {
         const instant now = monotonic_now();
         for (const std::pair<const std::string, known_keeper>& keeper : keepers_) {
-            if (keeper.second.hello.control() && now - keeper.second.last_seen < keeper_timeout)
-                targets.insert(peer_address(keeper.second.hello.address()));
+            if (keeper.second.heartbeat.control() && now - keeper.second.last_seen < keeper_timeout)
+                targets.insert(peer_address(keeper.second.heartbeat.address()));
         }
     }
     if (uses_seeds() && hosts_control()) {
@@ -47,49 +47,49 @@
            !replicas_.begin()->second->is_bootstrapped();
 }
 
-schema::keeper_hello service::own_hello(const peer_address& to) const {
-    schema::keeper_hello hello;
+schema::keeper_hello service::own_heartbeat(const peer_address& to) const {
+    schema::keeper_hello heartbeat;
     const bool bootstrapped = replicas_.begin()->second->is_bootstrapped();
-    hello.set_node(node_);
-    hello.set_zone(settings_.zone());
-    hello.set_name(settings_.name());
+    heartbeat.set_node(node_);
+    heartbeat.set_zone(settings_.zone());
+    heartbeat.set_name(settings_.name());
     for (const std::pair<const group_id, std::unique_ptr<group_replica>>& replica : replicas_) {
         if (replica.first == control_group || !replica.second->raft().leads())
             continue;
-        schema::group_view* view = hello.add_leads();
+        schema::group_view* view = heartbeat.add_leads();
         view->set_group(static_cast<std::uint32_t>(replica.first.value()));
         view->set_term(replica.second->raft().term().value());
         for (const consensus::member& member : replica.second->raft().log().members())
             view->add_disks(member.disk.value());
     }
-    hello.set_disk(recovered_.disk.value());
-    hello.set_address(settings_.peer_address());
+    heartbeat.set_disk(recovered_.disk.value());
+    heartbeat.set_address(settings_.peer_address());
     // If this isn't the cluster's first start, an empty disk may have lost votes and acknowledged
     // entries, so it must not take part in a bootstrap.
-    hello.set_empty(!bootstrapped && settings_.first_start());
-    hello.set_control(hosts_control());
-    hello.set_work(hosts_work());
+    heartbeat.set_empty(!bootstrapped && settings_.first_start());
+    heartbeat.set_control(hosts_control());
+    heartbeat.set_work(hosts_work());
     if (hosts_control() && bootstrapped)
-        *hello.mutable_founders() = consensus::members_to_proto(initial_members_);
+        *heartbeat.mutable_founders() = consensus::members_to_proto(initial_members_);
     auto received = received_revisions_.find(to.str());
     if (received != received_revisions_.end()) {
-        hello.set_directory_epoch(received->second.first);
-        hello.set_directory_revision(received->second.second);
+        heartbeat.set_directory_epoch(received->second.first);
+        heartbeat.set_directory_revision(received->second.second);
     }
-    return hello;
+    return heartbeat;
 }
 
-void service::record_keeper(const schema::keeper_hello& hello, instant seen) {
-    known_keeper& known = keepers_[hello.node()];
+void service::record_keeper(const schema::keeper_hello& heartbeat, instant seen) {
+    known_keeper& known = keepers_[heartbeat.node()];
     if (seen < known.last_seen)
         return;
-    known.hello = hello;
+    known.heartbeat = heartbeat;
     known.last_seen = seen;
-    const keeper_status status{hello.node(), disk_id(hello.disk()), hello.address(), hello.empty(),
-                               seen};
-    if (hello.control() || !uses_seeds())
+    const keeper_status status{heartbeat.node(), disk_id(heartbeat.disk()), heartbeat.address(),
+                               heartbeat.empty(), seen};
+    if (heartbeat.control() || !uses_seeds())
         planner_.update(status);
-    if (hello.work())
+    if (heartbeat.work())
         work_planner_.update(status);
 }
 
@@ -97,28 +97,28 @@
     const instant now = monotonic_now();
     schema::envelope envelope;
     schema::keeper_news* news = envelope.mutable_news();
-    *news->mutable_self() = own_hello(to);
+    *news->mutable_self() = own_heartbeat(to);
     *news->mutable_work_founders() = control_state_.work_founders();
     for (const schema::retire_command& command : control_state_.retiring())
         news->add_retiring_disks(command.disk());
     const std::set<std::uint64_t> members = work_group_disks(now);
-    const bool spare = is_spare(keeper.hello, members);
+    const bool spare = is_spare(keeper.heartbeat, members);
     for (const std::pair<const std::string, known_keeper>& other : keepers_) {
         const microseconds age = now - other.second.last_seen;
-        if (age >= keeper_timeout || other.first == keeper.hello.node())
+        if (age >= keeper_timeout || other.first == keeper.heartbeat.node())
             continue;
         // A spare needs no news of the other spares, which may be many.
-        if (spare && is_spare(other.second.hello, members))
+        if (spare && is_spare(other.second.heartbeat, members))
             continue;
         schema::keeper_hello* added = news->add_keepers();
-        *added = other.second.hello;
+        *added = other.second.heartbeat;
         added->clear_founders();
         added->set_age_ms(
             added->age_ms() +
             static_cast<std::uint32_t>(std::chrono::duration_cast<milliseconds>(age).count()));
     }
-    if (keeper.hello.control()) {
-        write_endpoints(keeper.hello, *news, true);
+    if (keeper.heartbeat.control()) {
+        write_endpoints(keeper.heartbeat, *news, true);
         write_sightings(*news);
     }
     hub_->send(to, envelope);
@@ -129,13 +129,13 @@
 void service::write_sightings(schema::keeper_news& news) const {
     const instant now = monotonic_now();
     for (const std::pair<const std::string, known_gateway>& gateway : gateways_) {
-        const microseconds age = now - gateway.second.last_heartbeat;
-        if (!gateway.second.hello.follows() || age >= gateway_timeout)
+        const microseconds age = now - gateway.second.heartbeat_received_at;
+        if (!gateway.second.heartbeat.follows() || age >= gateway_timeout)
             continue;
         schema::entry_sighting* sighting = news.add_entries();
         sighting->set_entry(gateway.first);
-        sighting->set_incarnation(gateway.second.hello.incarnation());
-        sighting->set_draining(gateway.second.hello.draining());
+        sighting->set_incarnation(gateway.second.heartbeat.incarnation());
+        sighting->set_draining(gateway.second.heartbeat.draining());
         sighting->set_age_ms(
             static_cast<std::uint32_t>(std::chrono::duration_cast<milliseconds>(age).count()));
     }
@@ -145,22 +145,23 @@
     for (const schema::entry_sighting& sighting : news.entries()) {
         auto found = gateways_.find(sighting.entry());
         const bool same_incarnation =
-            found != gateways_.end() && found->second.hello.incarnation() == sighting.incarnation();
+            found != gateways_.end() &&
+            found->second.heartbeat.incarnation() == sighting.incarnation();
         const instant seen = now - milliseconds(sighting.age_ms());
         if (!same_incarnation || seen <= found->second.last_seen)
             continue;
         found->second.last_seen = seen;
-        found->second.hello.set_draining(sighting.draining());
-        roster_.saw(found->second.hello, seen);
+        found->second.heartbeat.set_draining(sighting.draining());
+        roster_.saw(found->second.heartbeat, seen);
     }
 }
 
 void service::on_news(const schema::keeper_news& news) {
     const instant now = monotonic_now();
     record_keeper(news.self(), now);
-    for (const schema::keeper_hello& hello : news.keepers()) {
-        if (hello.node() != node_)
-            record_keeper(hello, now - milliseconds(hello.age_ms()));
+    for (const schema::keeper_hello& heartbeat : news.keepers()) {
+        if (heartbeat.node() != node_)
+            record_keeper(heartbeat, now - milliseconds(heartbeat.age_ms()));
     }
     if (hosts_work()) {
         std::set<disk_id> retiring;
@@ -188,14 +189,14 @@
         return;
     // The other keeper may have to wait until this one has an endpoint's announcement before it
     // acknowledges that.
-    send_keeper_hello(peer_address(news.self().address()));
+    send_keeper_heartbeat(peer_address(news.self().address()));
     schedule_beacon_push();
 }
 
 void service::push_news() {
     for (const std::pair<const std::string, known_keeper>& keeper : keepers_) {
         if (monotonic_now() - keeper.second.last_seen < keeper_timeout)
-            send_news(peer_address(keeper.second.hello.address()), keeper.second);
+            send_news(peer_address(keeper.second.heartbeat.address()), keeper.second);
     }
 }
 
@@ -224,9 +225,9 @@
     const instant now = monotonic_now();
     std::vector<schema::keeper_hello> candidates;
     for (const std::pair<const std::string, known_keeper>& keeper : keepers_) {
-        if (keeper.second.hello.work() && keeper.second.hello.empty() &&
+        if (keeper.second.heartbeat.work() && keeper.second.heartbeat.empty() &&
             now - keeper.second.last_seen < keeper_timeout)
-            candidates.push_back(keeper.second.hello);
+            candidates.push_back(keeper.second.heartbeat);
     }
     if (candidates.size() < group_size()) {
         enough_candidates_since_ = instant();
@@ -266,8 +267,9 @@
     log_info("work_groups_founded").with("members", initial_members_.size());
 }
 
-bool service::is_spare(const schema::keeper_hello& hello, const std::set<std::uint64_t>& members) {
-    return !hello.control() && !members.empty() && members.count(hello.disk()) == 0;
+bool service::is_spare(const schema::keeper_hello& heartbeat,
+                       const std::set<std::uint64_t>& members) {
+    return !heartbeat.control() && !members.empty() && members.count(heartbeat.disk()) == 0;
 }
 
 // As last reported by the leaders of the groups. If none has reported recently, the initial
@@ -277,7 +279,7 @@
     for (const std::pair<const std::string, known_keeper>& keeper : keepers_) {
         if (now - keeper.second.last_seen >= keeper_timeout)
             continue;
-        for (const schema::group_view& view : keeper.second.hello.leads())
+        for (const schema::group_view& view : keeper.second.heartbeat.leads())
             disks.insert(view.disks().begin(), view.disks().end());
     }
     if (disks.empty()) {
@@ -292,11 +294,11 @@
     const instant now = monotonic_now();
     const std::set<std::uint64_t> disks = work_group_disks(now);
     for (const std::pair<const std::string, known_keeper>& keeper : keepers_) {
-        const schema::keeper_hello& hello = keeper.second.hello;
-        const bool in_group = disks.count(hello.disk()) > 0;
-        if (now - keeper.second.last_seen < keeper_timeout && (hello.control() || in_group))
-            members_text += hello.address() + (hello.control() ? "c" : "") +
-                            (hello.work() ? "w" : "") + (in_group ? "g" : "") + " ";
+        const schema::keeper_hello& heartbeat = keeper.second.heartbeat;
+        const bool in_group = disks.count(heartbeat.disk()) > 0;
+        if (now - keeper.second.last_seen < keeper_timeout && (heartbeat.control() || in_group))
+            members_text += heartbeat.address() + (heartbeat.control() ? "c" : "") +
+                            (heartbeat.work() ? "w" : "") + (in_group ? "g" : "") + " ";
     }
     return stable_hash(members_text);
 }
--- a/lib/keeper/service_gateways.cpp
+++ b/lib/keeper/service_gateways.cpp
@@ -22,14 +22,14 @@
 constexpr std::size_t heartbeat_batch = 16;
 } // namespace
 
-static std::string holder_name(const schema::entry_hello& hello) {
-    return hello.entry() + "/" + std::to_string(hello.incarnation());
+static std::string holder_name(const schema::entry_hello& heartbeat) {
+    return heartbeat.entry() + "/" + std::to_string(heartbeat.incarnation());
 }
 
 // Raft messages must be handled in time however many gateways there are, so a heartbeat is answered
 // only after the messages that have already arrived.
-void service::queue_heartbeat(const schema::entry_hello& hello) {
-    heartbeat_queue_.add(hello);
+void service::queue_heartbeat(const schema::entry_hello& heartbeat) {
+    heartbeat_queue_.add(heartbeat);
     if (std::exchange(heartbeats_scheduled_, true))
         return;
     task_.post([this] { answer_queued_heartbeats(); });
@@ -37,30 +37,30 @@
 
 void service::answer_queued_heartbeats() {
     for (std::size_t i = 0; i < heartbeat_batch; ++i) {
-        if (const std::optional<schema::entry_hello> hello = heartbeat_queue_.next())
-            on_gateway_hello(*hello);
+        if (const std::optional<schema::entry_hello> heartbeat = heartbeat_queue_.next())
+            on_gateway_heartbeat(*heartbeat);
     }
     heartbeats_scheduled_ = !heartbeat_queue_.empty();
     if (heartbeats_scheduled_)
         task_.post([this] { answer_queued_heartbeats(); });
 }
 
-void service::on_gateway_hello(const schema::entry_hello& hello) {
+void service::on_gateway_heartbeat(const schema::entry_hello& heartbeat) {
     const instant now = monotonic_now();
-    known_gateway& gateway = gateways_[hello.entry()];
+    known_gateway& gateway = gateways_[heartbeat.entry()];
     // A lower incarnation is usually a delayed message of an earlier process. But a VM that was
     // restarted may start counting again, so it is accepted once the higher one has been silent.
-    if (hello.incarnation() < gateway.hello.incarnation() &&
+    if (heartbeat.incarnation() < gateway.heartbeat.incarnation() &&
         now - gateway.last_seen < incarnation_overlap)
         return;
-    if (hello.incarnation() != gateway.hello.incarnation())
+    if (heartbeat.incarnation() != gateway.heartbeat.incarnation())
         gateway.route_table.reset();
-    gateway.hello = hello;
+    gateway.heartbeat = heartbeat;
     gateway.last_seen = now;
-    gateway.last_heartbeat = now;
+    gateway.heartbeat_received_at = now;
     if (hosts_control() && uses_seeds())
-        roster_.saw(hello, now);
-    const std::string holder = holder_name(hello);
+        roster_.saw(heartbeat, now);
+    const std::string holder = holder_name(heartbeat);
     for (std::pair<const group_id, work_group>& group : work_groups_) {
         if (replicas_.at(group.first)->raft().leads())
             group.second.leader->mark_holder_alive(holder, now);
@@ -83,18 +83,19 @@
         beacon.set_leads_control(true);
         beacon.set_beacon(beacon_counter_);
         beacon.set_config_version(control_state_.version());
-        if (gateway.hello.config_version() < control_state_.version())
+        if (gateway.heartbeat.config_version() < control_state_.version())
             *beacon.mutable_config() = *control_state_.current();
     }
     // Route tables need no lease: a table that a member has applied is committed, and gateways
     // never go back to a lower version.
     const std::uint64_t latest = control_state_.routes().version();
-    if (uses_seeds() && gateway.route_table.is_due(latest, gateway.hello.routes_version(), now)) {
+    if (uses_seeds() &&
+        gateway.route_table.is_due(latest, gateway.heartbeat.routes_version(), now)) {
         *beacon.mutable_routes() = control_state_.routes();
         // Gateways don't need the original document; only keepers return it.
         beacon.mutable_routes()->clear_document();
     }
-    write_endpoints(gateway.hello, beacon, gateway.hello.follows());
+    write_endpoints(gateway.heartbeat, beacon, gateway.heartbeat.follows());
     write_keepers(gateway, beacon);
 }
 
@@ -103,17 +104,17 @@
 void service::write_keepers(const known_gateway& gateway, schema::keeper_beacon& beacon) const {
     const instant now = monotonic_now();
     beacon.set_keepers_digest(keepers_digest_);
-    if (uses_seeds() && gateway.hello.keepers_digest() == keepers_digest_)
+    if (uses_seeds() && gateway.heartbeat.keepers_digest() == keepers_digest_)
         return;
     const std::set<std::uint64_t> members = work_group_disks(now);
     for (const std::pair<const std::string, known_keeper>& keeper : keepers_) {
-        const schema::keeper_hello& hello = keeper.second.hello;
-        const bool in_group = hello.work() && members.count(hello.disk()) > 0;
-        const bool listed = !uses_seeds() || hello.control() || in_group;
+        const schema::keeper_hello& heartbeat = keeper.second.heartbeat;
+        const bool in_group = heartbeat.work() && members.count(heartbeat.disk()) > 0;
+        const bool listed = !uses_seeds() || heartbeat.control() || in_group;
         if (!listed || now - keeper.second.last_seen >= keeper_timeout)
             continue;
         schema::keeper_hello* added = beacon.add_keepers();
-        *added = hello;
+        *added = heartbeat;
         added->set_in_work_group(in_group);
     }
 }
@@ -121,9 +122,9 @@
 void service::write_gateways(const known_gateway& gateway, schema::keeper_beacon& beacon) const {
     const instant now = monotonic_now();
     if (uses_seeds()) {
-        if (gateway.hello.follows())
-            roster_.write(gateway.hello.entries_epoch(), gateway.hello.entries_revision(), beacon,
-                          now);
+        if (gateway.heartbeat.follows())
+            roster_.write(gateway.heartbeat.entries_epoch(), gateway.heartbeat.entries_revision(),
+                          beacon, now);
         return;
     }
     for (const std::pair<const std::string, known_gateway>& other : gateways_) {
@@ -133,7 +134,7 @@
         // Without its age, the last heartbeat of a dead gateway would count as new and keep the
         // gateway on the callers' list for twice as long.
         schema::entry_hello* added = beacon.add_entries();
-        *added = other.second.hello;
+        *added = other.second.heartbeat;
         added->set_age_ms(
             static_cast<std::uint32_t>(std::chrono::duration_cast<milliseconds>(age).count()));
     }
@@ -152,7 +153,7 @@
     schema::envelope envelope;
     schema::keeper_beacon* beacon = envelope.mutable_beacon();
     beacon->set_keeper(node_);
-    beacon->set_sent_at_us(gateway.hello.sent_at_us());
+    beacon->set_sent_at_us(gateway.heartbeat.sent_at_us());
     beacon->set_keeper_clock_us(to_us(now));
     if (hosts_control()) {
         refresh_lists(now);
@@ -161,7 +162,7 @@
         if (beacon->has_routes())
             gateway.route_table.on_sent(beacon->routes().version(), now);
     }
-    const std::string holder = holder_name(gateway.hello);
+    const std::string holder = holder_name(gateway.heartbeat);
     for (const std::pair<const group_id, work_group>& group : work_groups_) {
         if (!replicas_.at(group.first)->raft().may_read(now))
             continue;
@@ -177,10 +178,10 @@
                 beacon->add_cancelled_jobs(key.first.str());
         }
     }
-    const bool is_occasional_peer = hosts_control() && !gateway.hello.follows();
+    const bool is_occasional_peer = hosts_control() && !gateway.heartbeat.follows();
     const net::peer_watch watch =
         is_occasional_peer ? net::peer_watch::relaxed : net::peer_watch::steady;
-    hub_->send(peer_address(gateway.hello.peer_address()), envelope,
+    hub_->send(peer_address(gateway.heartbeat.peer_address()), envelope,
                uses_seeds() ? watch : net::peer_watch::close);
 }
 
@@ -220,8 +221,8 @@
     last_push_ = monotonic_now();
     min_push_interval_ = milliseconds(0);
     for (std::pair<const std::string, known_gateway>& gateway : gateways_) {
-        const bool follows = hosts_control() && gateway.second.hello.follows();
-        const bool is_receiver = !uses_seeds() || follows || holds_items(gateway.second.hello);
+        const bool follows = hosts_control() && gateway.second.heartbeat.follows();
+        const bool is_receiver = !uses_seeds() || follows || holds_items(gateway.second.heartbeat);
         if (!is_receiver)
             continue;
         send_beacon(gateway.second);
@@ -229,8 +230,8 @@
     }
 }
 
-bool service::holds_items(const schema::entry_hello& hello) const {
-    const std::string holder = holder_name(hello);
+bool service::holds_items(const schema::entry_hello& heartbeat) const {
+    const std::string holder = holder_name(heartbeat);
     return std::any_of(work_groups_.begin(), work_groups_.end(), [&holder](const auto& group) {
         return !group.second.state.leases_of(holder).empty();
     });
--- a/lib/keeper/service_http.cpp
+++ b/lib/keeper/service_http.cpp
@@ -107,8 +107,8 @@
     boost::json::array gateways;
     for (const std::pair<const std::string, known_gateway>& gateway : gateways_)
         gateways.push_back({{"entry", gateway.first},
-                            {"incarnation", gateway.second.hello.incarnation()},
-                            {"config_version", gateway.second.hello.config_version()},
+                            {"incarnation", gateway.second.heartbeat.incarnation()},
+                            {"config_version", gateway.second.heartbeat.config_version()},
                             {"silent_ms", (now - gateway.second.last_seen).count() / 1000}});
     out["entries"] = std::move(gateways);
     return boost::json::serialize(out);
--- a/lib/keeper/service_requests.cpp
+++ b/lib/keeper/service_requests.cpp
@@ -29,7 +29,7 @@
         queue_heartbeat(message.hello());
         break;
     case schema::envelope::kKeeper:
-        on_keeper_hello(message.keeper());
+        on_keeper_heartbeat(message.keeper());
         break;
     case schema::envelope::kNews:
         on_news(message.news());
@@ -173,20 +173,20 @@
         monotonic_now());
 }
 
-void service::send_keeper_hello(const peer_address& to) {
+void service::send_keeper_heartbeat(const peer_address& to) {
     schema::envelope envelope;
-    *envelope.mutable_keeper() = own_hello(to);
+    *envelope.mutable_keeper() = own_heartbeat(to);
     hub_->send(to, envelope);
 }
 
-void service::on_keeper_hello(const schema::keeper_hello& hello) {
-    record_keeper(hello, monotonic_now());
+void service::on_keeper_heartbeat(const schema::keeper_hello& heartbeat) {
+    record_keeper(heartbeat, monotonic_now());
     // An initial member that missed the bootstrap learns from the others who the members are.
     const bool bootstrapped = !hosts_control() || replicas_.at(control_group)->is_bootstrapped();
-    if (!bootstrapped && hello.control() && hello.founders().members_size() > 0)
-        initial_members_ = consensus::members_from_proto(hello.founders());
+    if (!bootstrapped && heartbeat.control() && heartbeat.founders().members_size() > 0)
+        initial_members_ = consensus::members_from_proto(heartbeat.founders());
     if (uses_seeds() && hosts_control())
-        send_news(peer_address(hello.address()), keepers_.at(hello.node()));
+        send_news(peer_address(heartbeat.address()), keepers_.at(heartbeat.node()));
     answer_pending_announcements();
 }
 
--- a/unittests/keeper/gateway_heartbeat_test.cpp
+++ b/unittests/keeper/gateway_heartbeat_test.cpp
@@ -12,11 +12,11 @@
 
 namespace {
 
-schema::entry_hello make_hello(int number, std::uint64_t sent_at) {
-    schema::entry_hello hello;
-    hello.set_entry("g" + std::to_string(number));
-    hello.set_sent_at_us(sent_at);
-    return hello;
+schema::entry_hello make_heartbeat(int number, std::uint64_t sent_at) {
+    schema::entry_hello heartbeat;
+    heartbeat.set_entry("g" + std::to_string(number));
+    heartbeat.set_sent_at_us(sent_at);
+    return heartbeat;
 }
 
 } // namespace
@@ -26,11 +26,11 @@
     heartbeat_queue queue;
     for (std::uint64_t round = 1; round <= 50; ++round) {
         for (int i = 0; i < 20; ++i)
-            queue.add(make_hello(i, round));
+            queue.add(make_heartbeat(i, round));
     }
     int answered = 0;
-    while (const std::optional<schema::entry_hello> hello = queue.next()) {
-        CHECK(hello->sent_at_us() == 50);
+    while (const std::optional<schema::entry_hello> heartbeat = queue.next()) {
+        CHECK(heartbeat->sent_at_us() == 50);
         ++answered;
     }
     CHECK(answered == 20);
@@ -43,7 +43,7 @@
     std::map<std::string, int> answered;
     for (std::uint64_t round = 0; round < 400; ++round) {
         for (int i = 0; i < 100; ++i)
-            queue.add(make_hello(i, round));
+            queue.add(make_heartbeat(i, round));
         for (int i = 0; i < 25; ++i)
             ++answered[queue.next()->entry()];
     }
