--- a/include/cassia/keeper/heartbeat_queue.h
+++ b/include/cassia/keeper/heartbeat_queue.h
@@ -19,7 +19,7 @@
 
 private:
     std::map<std::string, schema::entry_hello> pending_; ///< by gateway
-    std::string last_answered_;                          ///< gateway
+    std::string last_served_;                            ///< gateway
 };
 
 } // namespace cassia::keeper
--- a/include/cassia/keeper/service.h
+++ b/include/cassia/keeper/service.h
@@ -99,7 +99,7 @@
         instant last_seen{};             ///< by this keeper or another one
         instant heartbeat_received_at{}; ///< received by this keeper
         route_table_delivery route_table;
-        bool listed = false; ///< whether callers are directed to it, as last logged
+        bool serving = false; ///< whether callers are directed to it, as last logged
     };
     struct known_keeper {
         schema::keeper_hello heartbeat;
@@ -143,7 +143,7 @@
                        const group_replica::reply_callback& reply);
     std::string leader_node(const group_replica& replica) const;
     void queue_heartbeat(const schema::entry_hello& heartbeat);
-    void answer_queued_heartbeats();
+    void respond_to_queued_heartbeats();
     void on_gateway_heartbeat(const schema::entry_hello& heartbeat);
     void send_beacon(known_gateway& gateway);
     void write_control_state(const known_gateway& gateway, schema::keeper_beacon& beacon) const;
@@ -190,7 +190,7 @@
     std::size_t group_size() const { return 2 * std::size_t{settings_.tolerated_losses()} + 1; }
     std::vector<peer_address> heartbeat_targets() const;
     /// Whether the work groups exist, and this keeper is a member of none of them.
-    bool is_idle_spare() const;
+    bool is_standby() const;
     void record_keeper(const schema::keeper_hello& heartbeat, instant seen);
     void send_news(const peer_address& to, const known_keeper& keeper);
     void on_news(const schema::keeper_news& news);
@@ -200,8 +200,8 @@
     const known_keeper* find_work_keeper(const std::string& name) const;
     std::set<disk_id> retiring_disks() const;
     bool is_serving(const known_gateway& gateway, instant now) const;
-    void log_listed_gateways();
-    void answer_pending_announcements();
+    void log_serving_changes();
+    void respond_to_pending_announcements();
     void restore_endpoints();
     void save_endpoints();
     schema::keeper_hello own_heartbeat(const peer_address& to) const;
@@ -209,8 +209,8 @@
     std::set<std::uint64_t> work_group_disks(instant now) const;
     /// Whether a keeper is a member of no group and stands by to replace one.
     /// \param members disks of the members of the work groups.
-    static bool is_spare(const schema::keeper_hello& heartbeat,
-                         const std::set<std::uint64_t>& members);
+    static bool is_standby_keeper(const schema::keeper_hello& heartbeat,
+                                  const std::set<std::uint64_t>& members);
     std::uint64_t compute_keepers_digest() const;
 
     schema::keeper_settings settings_;
@@ -242,7 +242,7 @@
         received_revisions_; ///< epoch and revision of each keeper's directory, by its address
     std::vector<pending_announcement> pending_announcements_;
     instant enough_candidates_since_{}; ///< to form the work groups; instant() while too few
-    std::size_t known_retiring_ = 0;
+    std::size_t known_retiring_count_ = 0;
     std::uint64_t saved_changes_ = 0; ///< of the directory: those saved or being saved
     bool saving_endpoints_ = false;
     std::uint64_t beacon_counter_ = 0; ///< counts up while this keeper leads the control group
@@ -252,10 +252,10 @@
     heartbeat_queue heartbeat_queue_;
     bool heartbeats_scheduled_ = false;
     bool beacon_push_scheduled_ = false;
-    instant last_push_{};                ///< of beacons, because of a change
-    microseconds min_push_interval_{0};  ///< from the last push to the next
-    bool work_groups_formed_ = false;    ///< as the control group reports
-    std::uint32_t heartbeat_rounds_ = 0; ///< while this keeper is an idle spare
+    instant last_push_{};                   ///< of beacons, because of a change
+    microseconds min_push_interval_{0};     ///< from the last push to the next
+    bool work_groups_bootstrapped_ = false; ///< as the control group reports
+    std::uint32_t heartbeat_rounds_ = 0;    ///< while this keeper is an idle spare
     bool stopping_ = false;
     int exit_code_ = 0;
 };
--- a/include/cassia/keeper/work_leader.h
+++ b/include/cassia/keeper/work_leader.h
@@ -72,7 +72,7 @@
     void propose_leases(const schema::lease_request& request, const reply_callback& reply);
     schema::stale_items find_stale_items(const schema::held_items& held) const;
     std::vector<policy::job_candidate> find_candidates(const std::string& service) const;
-    void answer_settled_cancels(instant now);
+    void respond_to_settled_cancels(instant now);
     void release_lost_holders(instant now);
 
     const state::work_state& state_;
@@ -88,7 +88,7 @@
     std::map<std::string, instant> holders_last_seen_;
     std::set<std::string> holders_being_released_;
     std::map<state::item_key, instant> leased_at_; ///< when each lease was applied here
-    instant next_expiry_{};
+    instant next_expiry_check_{};
 };
 
 } // namespace cassia::keeper
--- a/lib/keeper/heartbeat_queue.cpp
+++ b/lib/keeper/heartbeat_queue.cpp
@@ -13,10 +13,10 @@
 std::optional<schema::entry_hello> heartbeat_queue::next() {
     if (pending_.empty())
         return std::nullopt;
-    auto found = pending_.upper_bound(last_answered_);
+    auto found = pending_.upper_bound(last_served_);
     found = found == pending_.end() ? pending_.begin() : found;
     schema::entry_hello heartbeat = std::move(found->second);
-    last_answered_ = found->first;
+    last_served_ = found->first;
     pending_.erase(found);
     return heartbeat;
 }
--- a/lib/keeper/membership_planner.cpp
+++ b/lib/keeper/membership_planner.cpp
@@ -89,9 +89,9 @@
         return false;
     const bool has_replaceable_member = std::any_of(
         members.begin(), members.end(), [this, &group, now](const consensus::member& member) {
-            const bool silent =
+            const bool unresponsive =
                 member.voter && member.disk != group.self() && !group.is_active(member.disk, now);
-            return silent || is_retiring(member.disk);
+            return unresponsive || is_retiring(member.disk);
         });
     // Learners are added one at a time, because each costs the leader a copy of the state.
     const bool has_active_learner =
@@ -108,7 +108,7 @@
                                     const consensus::raft_group& group, instant now) const {
     if (candidate.disk == group.self())
         return false;
-    const bool silent = !group.is_active(candidate.disk, now);
+    const bool unresponsive = !group.is_active(candidate.disk, now);
     // The same node has joined with another disk.
     const bool superseded = std::any_of(
         members.begin(), members.end(), [&candidate, &group, now](const consensus::member& other) {
@@ -119,9 +119,9 @@
         std::count_if(members.begin(), members.end(),
                       [](const consensus::member& member) { return member.voter; }));
     const std::size_t target = std::max(target_size_, initial_nodes_.size());
-    const bool replacement_votes = candidate.voter && voters > target;
-    return (silent && (superseded || replacement_votes)) ||
-           (is_retiring(candidate.disk) && replacement_votes);
+    const bool is_surplus_voter = candidate.voter && voters > target;
+    return (unresponsive && (superseded || is_surplus_voter)) ||
+           (is_retiring(candidate.disk) && is_surplus_voter);
 }
 
 } // namespace cassia::keeper
--- a/lib/keeper/service.cpp
+++ b/lib/keeper/service.cpp
@@ -203,12 +203,12 @@
     task_.every(keeper_heartbeat_interval, [this] {
         if (hosts_control())
             try_bootstrap();
-        if (!is_idle_spare() || ++heartbeat_rounds_ % standby_heartbeat_divisor == 0) {
+        if (!is_standby() || ++heartbeat_rounds_ % standby_heartbeat_divisor == 0) {
             for (const peer_address& keeper : heartbeat_targets())
                 send_keeper_heartbeat(keeper);
         }
-        answer_pending_announcements();
-        log_listed_gateways();
+        respond_to_pending_announcements();
+        log_serving_changes();
         directory_.forget_old(monotonic_now());
     });
     task_.every(membership_check_interval, [this] {
--- a/lib/keeper/service_api.cpp
+++ b/lib/keeper/service_api.cpp
@@ -82,7 +82,7 @@
     pending_announcements_.push_back(
         {directory_.revision(), now + announcement_timeout, std::move(done)});
     push_news();
-    answer_pending_announcements();
+    respond_to_pending_announcements();
 }
 
 // An endpoint unknown to this keeper is recorded as gone too: earlier announcements may still be in
@@ -131,12 +131,12 @@
 
 // Once it is acknowledged that an endpoint leaves or is gone, every gateway must learn of it even
 // if this keeper dies right afterwards. So a majority of the control group must have it first.
-void service::answer_pending_announcements() {
+void service::respond_to_pending_announcements() {
     const instant now = monotonic_now();
     const std::size_t members =
         hosts_control() ? replicas_.at(control_group)->raft().log().members().size() : 0;
     std::vector<pending_announcement> still_pending;
-    std::vector<std::pair<std::function<void(bool)>, bool>> answers;
+    std::vector<std::pair<std::function<void(bool)>, bool>> responses;
     for (pending_announcement& announcement : pending_announcements_) {
         std::size_t acknowledged = 1;
         for (const std::pair<const std::string, known_keeper>& keeper : keepers_) {
@@ -147,13 +147,13 @@
         }
         const bool majority_has_it = acknowledged >= members / 2 + 1;
         if (majority_has_it || now >= announcement.deadline)
-            answers.emplace_back(std::move(announcement.done), majority_has_it);
+            responses.emplace_back(std::move(announcement.done), majority_has_it);
         else
             still_pending.push_back(std::move(announcement));
     }
     pending_announcements_ = std::move(still_pending);
-    for (const std::pair<std::function<void(bool)>, bool>& answer : answers)
-        answer.first(answer.second);
+    for (const std::pair<std::function<void(bool)>, bool>& response : responses)
+        response.first(response.second);
 }
 
 const service::known_keeper* service::find_work_keeper(const std::string& name) const {
@@ -265,14 +265,14 @@
 }
 
 // A dead gateway logs nothing itself. These events show while callers were directed to it in vain.
-void service::log_listed_gateways() {
+void service::log_serving_changes() {
     const instant now = monotonic_now();
     for (std::pair<const std::string, known_gateway>& gateway : gateways_) {
-        const bool listed = is_serving(gateway.second, now);
-        if (listed == gateway.second.listed)
+        const bool serving = is_serving(gateway.second, now);
+        if (serving == gateway.second.serving)
             continue;
-        gateway.second.listed = listed;
-        log_info(listed ? "entry_heard" : "entry_silent")
+        gateway.second.serving = serving;
+        log_info(serving ? "entry_heard" : "entry_silent")
             .with("entry", gateway.first)
             .with("incarnation", gateway.second.heartbeat.incarnation())
             .with("draining", gateway.second.heartbeat.draining() ? 1 : 0)
--- a/lib/keeper/service_discovery.cpp
+++ b/lib/keeper/service_discovery.cpp
@@ -42,8 +42,8 @@
     return {targets.begin(), targets.end()};
 }
 
-bool service::is_idle_spare() const {
-    return uses_seeds() && !hosts_control() && work_groups_formed_ &&
+bool service::is_standby() const {
+    return uses_seeds() && !hosts_control() && work_groups_bootstrapped_ &&
            !replicas_.begin()->second->is_bootstrapped();
 }
 
@@ -102,13 +102,13 @@
     for (const schema::retire_command& command : control_state_.retiring())
         news->add_retiring_disks(command.disk());
     const std::set<std::uint64_t> members = work_group_disks(now);
-    const bool spare = is_spare(keeper.heartbeat, members);
+    const bool is_standby_receiver = is_standby_keeper(keeper.heartbeat, members);
     for (const std::pair<const std::string, known_keeper>& other : keepers_) {
         const microseconds age = now - other.second.last_seen;
         if (age >= keeper_timeout || other.first == keeper.heartbeat.node())
             continue;
         // A spare needs no news of the other spares, which may be many.
-        if (spare && is_spare(other.second.heartbeat, members))
+        if (is_standby_receiver && is_standby_keeper(other.second.heartbeat, members))
             continue;
         schema::keeper_hello* added = news->add_keepers();
         *added = other.second.heartbeat;
@@ -168,8 +168,8 @@
         for (const std::uint64_t disk : news.retiring_disks())
             retiring.insert(disk_id(disk));
         // A retirement is never revoked, so the longest list is the latest.
-        if (retiring.size() >= known_retiring_) {
-            known_retiring_ = retiring.size();
+        if (retiring.size() >= known_retiring_count_) {
+            known_retiring_count_ = retiring.size();
             work_planner_.set_retiring(std::move(retiring));
         }
         if (news.work_founders().members_size() > 0)
@@ -248,7 +248,7 @@
 }
 
 void service::bootstrap_work_groups(const schema::group_members& proto) {
-    work_groups_formed_ = true;
+    work_groups_bootstrapped_ = true;
     const consensus::member_list members = consensus::members_from_proto(proto);
     std::vector<std::string> nodes;
     for (const consensus::member& member : members)
@@ -267,8 +267,8 @@
     log_info("work_groups_founded").with("members", initial_members_.size());
 }
 
-bool service::is_spare(const schema::keeper_hello& heartbeat,
-                       const std::set<std::uint64_t>& members) {
+bool service::is_standby_keeper(const schema::keeper_hello& heartbeat,
+                                const std::set<std::uint64_t>& members) {
     return !heartbeat.control() && !members.empty() && members.count(heartbeat.disk()) == 0;
 }
 
--- a/lib/keeper/service_gateways.cpp
+++ b/lib/keeper/service_gateways.cpp
@@ -32,17 +32,17 @@
     heartbeat_queue_.add(heartbeat);
     if (std::exchange(heartbeats_scheduled_, true))
         return;
-    task_.post([this] { answer_queued_heartbeats(); });
+    task_.post([this] { respond_to_queued_heartbeats(); });
 }
 
-void service::answer_queued_heartbeats() {
+void service::respond_to_queued_heartbeats() {
     for (std::size_t i = 0; i < heartbeat_batch; ++i) {
         if (const std::optional<schema::entry_hello> heartbeat = heartbeat_queue_.next())
             on_gateway_heartbeat(*heartbeat);
     }
     heartbeats_scheduled_ = !heartbeat_queue_.empty();
     if (heartbeats_scheduled_)
-        task_.post([this] { answer_queued_heartbeats(); });
+        task_.post([this] { respond_to_queued_heartbeats(); });
 }
 
 void service::on_gateway_heartbeat(const schema::entry_hello& heartbeat) {
@@ -110,8 +110,8 @@
     for (const std::pair<const std::string, known_keeper>& keeper : keepers_) {
         const schema::keeper_hello& heartbeat = keeper.second.heartbeat;
         const bool in_group = heartbeat.work() && members.count(heartbeat.disk()) > 0;
-        const bool listed = !uses_seeds() || heartbeat.control() || in_group;
-        if (!listed || now - keeper.second.last_seen >= keeper_timeout)
+        const bool included = !uses_seeds() || heartbeat.control() || in_group;
+        if (!included || now - keeper.second.last_seen >= keeper_timeout)
             continue;
         schema::keeper_hello* added = beacon.add_keepers();
         *added = heartbeat;
--- a/lib/keeper/service_http.cpp
+++ b/lib/keeper/service_http.cpp
@@ -44,10 +44,10 @@
 
 std::string service::metrics_text() {
     const instant now = monotonic_now();
-    std::size_t listed = 0;
+    std::size_t serving = 0;
     for (const std::pair<const std::string, known_gateway>& gateway : gateways_)
-        listed += gateway.second.listed ? 1 : 0;
-    metrics_.set("entries_listed", listed);
+        serving += gateway.second.serving ? 1 : 0;
+    metrics_.set("entries_listed", serving);
     metrics_.set("endpoints_serving", directory_.serving(now).size());
     metrics_.set("routes_version", control_state_.routes().version());
     metrics_.set("log_lines_dropped", dropped_log_lines());
--- a/lib/keeper/service_requests.cpp
+++ b/lib/keeper/service_requests.cpp
@@ -54,13 +54,13 @@
         return;
     const std::uint64_t id = request.id();
     const group_replica::reply_callback reply = [this, id, group,
-                                                 reply_to](schema::keeper_reply answer) {
-        answer.set_id(id);
-        answer.set_group(static_cast<std::uint32_t>(group.value()));
-        if (answer.result() != schema::keeper_reply::done)
-            answer.set_leader(leader_node(*replicas_.at(group)));
+                                                 reply_to](schema::keeper_reply response) {
+        response.set_id(id);
+        response.set_group(static_cast<std::uint32_t>(group.value()));
+        if (response.result() != schema::keeper_reply::done)
+            response.set_leader(leader_node(*replicas_.at(group)));
         schema::envelope envelope;
-        *envelope.mutable_reply() = std::move(answer);
+        *envelope.mutable_reply() = std::move(response);
         hub_->send(peer_address(reply_to), envelope);
     };
     const instant now = monotonic_now();
@@ -105,20 +105,20 @@
 
 void service::serve_history(const schema::keeper_request&,
                             const group_replica::reply_callback& reply) {
-    schema::keeper_reply answer;
+    schema::keeper_reply response;
     for (const schema::change_record& change : control_state_.history()) {
-        schema::change_record* listed = answer.add_history();
-        listed->set_version(change.version());
-        listed->set_change_id(change.change_id());
-        listed->set_at(change.at());
-        listed->set_digest(change.digest());
+        schema::change_record* summary = response.add_history();
+        summary->set_version(change.version());
+        summary->set_change_id(change.change_id());
+        summary->set_at(change.at());
+        summary->set_digest(change.digest());
     }
-    if (answer.history_size() > 0) {
-        schema::change_record* latest = answer.mutable_history(answer.history_size() - 1);
+    if (response.history_size() > 0) {
+        schema::change_record* latest = response.mutable_history(response.history_size() - 1);
         latest->set_plans(control_state_.current()->plans());
         latest->set_allowances(control_state_.current()->allowances());
     }
-    reply(std::move(answer));
+    reply(std::move(response));
 }
 
 void service::serve_work(const schema::keeper_request& request,
@@ -141,9 +141,9 @@
             replicas_.at(id)->propose(request.work().SerializeAsString(), reply, now);
         break;
     case schema::keeper_request::kQuery: {
-        schema::keeper_reply answer;
-        *answer.mutable_work() = group->second.state.query(request.query(), read);
-        reply(std::move(answer));
+        schema::keeper_reply response;
+        *response.mutable_work() = group->second.state.query(request.query(), read);
+        reply(std::move(response));
         break;
     }
     case schema::keeper_request::kLease:
@@ -160,15 +160,15 @@
     const std::string key = command.claim().key();
     replicas_.at(group)->propose(
         command.SerializeAsString(),
-        [this, group, team, key, reply](schema::keeper_reply answer) {
-            if (answer.work().result() == schema::work_reply::replay) {
+        [this, group, team, key, reply](schema::keeper_reply response) {
+            if (response.work().result() == schema::work_reply::replay) {
                 const state::result<void> completed = work_groups_.at(group).state.fill_answer(
-                    *answer.mutable_work(), team, key,
+                    *response.mutable_work(), team, key,
                     [this](const storage::position& at) { return store_.read_command(at); });
                 if (!completed)
-                    answer.set_result(schema::keeper_reply::unavailable);
+                    response.set_result(schema::keeper_reply::unavailable);
             }
-            reply(std::move(answer));
+            reply(std::move(response));
         },
         monotonic_now());
 }
@@ -187,7 +187,7 @@
         initial_members_ = consensus::members_from_proto(heartbeat.founders());
     if (uses_seeds() && hosts_control())
         send_news(peer_address(heartbeat.address()), keepers_.at(heartbeat.node()));
-    answer_pending_announcements();
+    respond_to_pending_announcements();
 }
 
 } // namespace cassia::keeper
--- a/lib/keeper/store.cpp
+++ b/lib/keeper/store.cpp
@@ -20,7 +20,7 @@
 namespace {
 constexpr const char* identity_file = "identity";
 constexpr const char* snapshot_prefix = "snapshot-";
-constexpr int hexadecimal = 16;
+constexpr int hexadecimal_base = 16;
 } // namespace
 
 store::store(std::string folder, std::uint64_t segment_bytes, storage::disk_hooks disk)
@@ -105,7 +105,8 @@
 storage::result<disk_id> store::load_identity() {
     const storage::result<std::string> content = storage::read_file(folder_ + "/" + identity_file);
     if (content) {
-        const std::uint64_t number = std::strtoull(content.value().c_str(), nullptr, hexadecimal);
+        const std::uint64_t number =
+            std::strtoull(content.value().c_str(), nullptr, hexadecimal_base);
         if (number == 0)
             return failure(storage::error{storage::errc::corrupt, "unreadable disk identity"});
         return disk_id(number);
@@ -121,7 +122,7 @@
     if (!written)
         return failure(written.error());
     log_info("disk_identity_made").with("disk", identity);
-    return disk_id(std::strtoull(identity.c_str(), nullptr, hexadecimal));
+    return disk_id(std::strtoull(identity.c_str(), nullptr, hexadecimal_base));
 }
 
 storage::result<void> store::load_snapshots(recovered_store& recovered) {
--- a/lib/keeper/work_leader.cpp
+++ b/lib/keeper/work_leader.cpp
@@ -36,9 +36,9 @@
     std::vector<pending_cancel> dropped = std::move(pending_cancels_);
     pending_cancels_.clear();
     for (const pending_cancel& cancel : dropped) {
-        schema::keeper_reply answer;
-        answer.set_result(schema::keeper_reply::unavailable);
-        cancel.reply(std::move(answer));
+        schema::keeper_reply response;
+        response.set_result(schema::keeper_reply::unavailable);
+        cancel.reply(std::move(response));
     }
 }
 
@@ -205,23 +205,23 @@
 void work_leader::cancel(const schema::work_command& command, const reply_callback& reply,
                          instant now) {
     const job_id cancelled_job(command.cancel().job());
-    hooks_.propose(command, [this, cancelled_job, reply, now](schema::keeper_reply answer) {
+    hooks_.propose(command, [this, cancelled_job, reply, now](schema::keeper_reply response) {
         // Callers of a listed job see each item's end in its list, so they needn't wait for the
         // answer.
         auto job_entry = state_.jobs().find(cancelled_job);
         const bool listed = job_entry != state_.jobs().end() && job_entry->second.listed;
-        const bool must_wait = answer.result() == schema::keeper_reply::done && !listed &&
-                               answer.work().job().status() == "cancelling";
+        const bool must_wait = response.result() == schema::keeper_reply::done && !listed &&
+                               response.work().job().status() == "cancelling";
         if (must_wait)
             pending_cancels_.push_back({cancelled_job, reply, now + cancel_timeout});
         else
-            reply(std::move(answer));
+            reply(std::move(response));
     });
 }
 
 // A cancellation is answered once no gateway holds an item of the job any more, so that no item
 // starts after the answer.
-void work_leader::answer_settled_cancels(instant now) {
+void work_leader::respond_to_settled_cancels(instant now) {
     std::vector<pending_cancel> still_pending;
     for (pending_cancel& cancel : pending_cancels_) {
         auto job = state_.jobs().find(cancel.job);
@@ -230,10 +230,10 @@
             still_pending.push_back(std::move(cancel));
             continue;
         }
-        schema::keeper_reply answer;
+        schema::keeper_reply response;
         if (job != state_.jobs().end())
-            state::write_view(job->second, *answer.mutable_work()->mutable_job());
-        cancel.reply(std::move(answer));
+            state::write_view(job->second, *response.mutable_work()->mutable_job());
+        cancel.reply(std::move(response));
     }
     pending_cancels_ = std::move(still_pending);
 }
@@ -271,11 +271,11 @@
 void work_leader::tick(instant now, wall_time wall) {
     if (!leading_)
         return;
-    answer_settled_cancels(now);
+    respond_to_settled_cancels(now);
     release_lost_holders(now);
-    if (now < next_expiry_)
+    if (now < next_expiry_check_)
         return;
-    next_expiry_ = now + expiry_check_interval;
+    next_expiry_check_ = now + expiry_check_interval;
     for (auto lease = leased_at_.begin(); lease != leased_at_.end();)
         lease = state_.jobs().count(lease->first.first) == 0 ? leased_at_.erase(lease)
                                                              : std::next(lease);
--- a/unittests/keeper/gateway_heartbeat_test.cpp
+++ b/unittests/keeper/gateway_heartbeat_test.cpp
@@ -28,27 +28,27 @@
         for (int i = 0; i < 20; ++i)
             queue.add(make_heartbeat(i, round));
     }
-    int answered = 0;
+    int served = 0;
     while (const std::optional<schema::entry_hello> heartbeat = queue.next()) {
         CHECK(heartbeat->sent_at_us() == 50);
-        ++answered;
+        ++served;
     }
-    CHECK(answered == 20);
+    CHECK(served == 20);
     CHECK(queue.empty());
 }
 
 // Guards against starvation: heartbeats arrive four times as fast as they can be answered.
 TEST_CASE("an overloaded keeper answers gateways round-robin", "[hello]") {
     heartbeat_queue queue;
-    std::map<std::string, int> answered;
+    std::map<std::string, int> served;
     for (std::uint64_t round = 0; round < 400; ++round) {
         for (int i = 0; i < 100; ++i)
             queue.add(make_heartbeat(i, round));
         for (int i = 0; i < 25; ++i)
-            ++answered[queue.next()->entry()];
+            ++served[queue.next()->entry()];
     }
-    CHECK(answered.size() == 100);
-    for (const auto& gateway : answered)
+    CHECK(served.size() == 100);
+    for (const auto& gateway : served)
         CHECK(gateway.second == 100);
 }
 
--- a/unittests/keeper/work_leader_test.cpp
+++ b/unittests/keeper/work_leader_test.cpp
@@ -22,9 +22,9 @@
         : leader(state, milliseconds(5000),
                  {[this](const schema::work_command& command,
                          const work_leader_hooks::reply_callback& reply) {
-                      schema::keeper_reply answer;
-                      *answer.mutable_work() = apply(command);
-                      reply(answer);
+                      schema::keeper_reply response;
+                      *response.mutable_work() = apply(command);
+                      reply(response);
                   },
                   [](const storage::position&) -> storage::result<std::string> {
                       return std::string();
