--- a/include/cassia/keeper/group_replica.h
+++ b/include/cassia/keeper/group_replica.h
@@ -78,6 +78,8 @@
     /// The log is synced up to this entry of the group.
     void on_persisted(std::uint64_t index, term_number term);
 
+    /// Whether this replica has a state: bootstrapped, recovered from disk, or installed from a
+    /// leader's snapshot.
     bool is_bootstrapped() const { return bootstrapped_; }
     const consensus::raft_group& raft() const { return *raft_; }
     /// The group needs no log segment below this one.
@@ -91,6 +93,7 @@
 
     void append_to_log(consensus::raft_actions& actions, pending_sync& pending);
     void apply_entry(const consensus::entry_pointer& entry);
+    /// Also ends the snapshot transfers, which only a leader makes.
     void fail_pending_proposals();
     void take_snapshot_if_due(instant now);
     void write_snapshot(const std::shared_ptr<schema::group_snapshot>& snapshot,
--- a/include/cassia/keeper/heartbeat_queue.h
+++ b/include/cassia/keeper/heartbeat_queue.h
@@ -1,4 +1,4 @@
-/// Gateways' heartbeats that wait to be answered: only the latest of each gateway, served
+/// Gateways' heartbeats that wait for a response: only the latest of each gateway, served
 /// round-robin. Pure.
 #pragma once
 
--- a/include/cassia/keeper/service.h
+++ b/include/cassia/keeper/service.h
@@ -59,11 +59,12 @@
 
     /// Puts a validated route table in force; done once it is committed and applied.
     void put_routes(const schema::route_table& table, const control_callback& done);
-    /// Returns the route table in force, by a linearizable read.
+    /// Passes the route table in force to `done`, by a linearizable read.
     void read_routes(const control_callback& done);
-    /// Records an endpoint's announcement. Calls `done(true)` once losing this keeper can't lose
-    /// it: at once for a heartbeat; when the endpoint is leaving or gone, after a majority of the
-    /// control group has it. Calls `done(false)` if that takes too long.
+    /// Records an endpoint's announcement and calls `done(true)`: at once unless the
+    /// endpoint is leaving or gone, because a live endpoint repeats its announcement; otherwise
+    /// once a majority of the control group has the record, so that losing this keeper can't lose
+    /// it. Calls `done(false)` if that takes too long.
     void announce_endpoint(const schema::endpoint_record& record, std::function<void(bool)> done);
     /// Records that an endpoint is gone. \param incarnation 0: the latest known one.
     void remove_endpoint(const endpoint_id& endpoint, std::uint64_t incarnation,
@@ -86,7 +87,8 @@
     net::task& owner() { return task_; }
 
 private:
-    /// Silence after which a peer is presumed dead: ten hellos of a keeper, twelve of a gateway.
+    /// Time without a heartbeat after which a peer is presumed dead: ten intervals of a keeper's
+    /// heartbeat, twelve of a gateway's.
     static constexpr milliseconds keeper_timeout{3000};
     static constexpr milliseconds gateway_timeout{3000};
 
@@ -95,9 +97,9 @@
         std::unique_ptr<work_leader> leader;
     };
     struct known_gateway {
-        schema::entry_hello heartbeat;   ///< last heartbeat
-        instant last_seen{};             ///< by this keeper or another one
-        instant heartbeat_received_at{}; ///< received by this keeper
+        schema::entry_hello heartbeat;   ///< the latest; `draining` also from other keepers
+        instant last_seen{};             ///< by any keeper
+        instant heartbeat_received_at{}; ///< by this keeper
         route_table_delivery route_table;
         bool serving = false; ///< whether callers are directed to it, as last logged
     };
@@ -145,6 +147,7 @@
     void queue_heartbeat(const schema::entry_hello& heartbeat);
     void respond_to_queued_heartbeats();
     void on_gateway_heartbeat(const schema::entry_hello& heartbeat);
+    /// Sends a gateway what it lacks: in response to its heartbeat, or to push a change.
     void send_beacon(known_gateway& gateway);
     void write_control_state(const known_gateway& gateway, schema::keeper_beacon& beacon) const;
     void write_gateways(const known_gateway& gateway, schema::keeper_beacon& beacon) const;
@@ -174,6 +177,7 @@
     void schedule_beacon_push();
     void push_beacons();
     bool holds_items(const schema::entry_hello& heartbeat) const;
+    /// Tells the other control keepers which of the gateways that follow this one are alive.
     void write_sightings(schema::keeper_news& news) const;
     void merge_sightings(const schema::keeper_news& news, instant now);
 
@@ -189,7 +193,7 @@
     bool uses_seeds() const { return settings_.cluster().seed_size() > 0; }
     std::size_t group_size() const { return 2 * std::size_t{settings_.tolerated_losses()} + 1; }
     std::vector<peer_address> heartbeat_targets() const;
-    /// Whether the work groups exist, and this keeper is a member of none of them.
+    /// Whether the work groups exist, and this keeper holds the state of none of them.
     bool is_standby() const;
     void record_keeper(const schema::keeper_hello& heartbeat, instant seen);
     void send_news(const peer_address& to, const known_keeper& keeper);
@@ -207,7 +211,7 @@
     schema::keeper_hello own_heartbeat(const peer_address& to) const;
     /// Disks of the members of the work groups.
     std::set<std::uint64_t> work_group_disks(instant now) const;
-    /// Whether a keeper is a member of no group and stands by to replace one.
+    /// Whether a keeper is a member of no group and stands by to replace a member.
     /// \param members disks of the members of the work groups.
     static bool is_standby_keeper(const schema::keeper_hello& heartbeat,
                                   const std::set<std::uint64_t>& members);
@@ -241,9 +245,9 @@
     std::map<std::string, std::pair<std::uint64_t, std::uint64_t>>
         received_revisions_; ///< epoch and revision of each keeper's directory, by its address
     std::vector<pending_announcement> pending_announcements_;
-    instant enough_candidates_since_{}; ///< to form the work groups; instant() while too few
-    std::size_t known_retiring_count_ = 0;
-    std::uint64_t saved_changes_ = 0; ///< of the directory: those saved or being saved
+    instant enough_candidates_since_{}; ///< to bootstrap the work groups; instant() while too few
+    std::size_t known_retiring_count_ = 0; ///< size of the longest list received
+    std::uint64_t saved_changes_ = 0;      ///< directory_.changes() at the last save or restore
     bool saving_endpoints_ = false;
     std::uint64_t beacon_counter_ = 0; ///< counts up while this keeper leads the control group
     std::uint64_t keepers_digest_ = 0;
@@ -255,7 +259,7 @@
     instant last_push_{};                   ///< of beacons, because of a change
     microseconds min_push_interval_{0};     ///< from the last push to the next
     bool work_groups_bootstrapped_ = false; ///< as the control group reports
-    std::uint32_t heartbeat_rounds_ = 0;    ///< while this keeper is an idle spare
+    std::uint32_t heartbeat_rounds_ = 0;    ///< while this keeper is a standby
     bool stopping_ = false;
     int exit_code_ = 0;
 };
--- a/include/cassia/keeper/work_leader.h
+++ b/include/cassia/keeper/work_leader.h
@@ -1,6 +1,6 @@
 /// Duties of a work group's leader: it leases items to holders, takes leases back from holders that
-/// died or never received them, answers cancellations once they are in force, and has old jobs
-/// removed.
+/// died or never received them, responds to a cancellation once no holder has an item of the job,
+/// and has expired jobs removed.
 ///
 /// A holder is one incarnation of a gateway, named "GATEWAY/INCARNATION".
 #pragma once
@@ -42,8 +42,8 @@
     work_leader(const state::work_state& state, milliseconds holder_timeout,
                 work_leader_hooks hooks);
 
-    /// Records whether this member leads the group. A change drops queued requests, answers pending
-    /// cancellations as unavailable, and forgets what was known about holders.
+    /// Records whether this member leads the group. A change drops queued requests, fails pending
+    /// cancellations as `unavailable`, and forgets what was known about holders.
     void set_leading(bool leading, instant now);
     void set_weight(const team_id& team, double weight);
 
@@ -87,7 +87,7 @@
     std::vector<pending_cancel> pending_cancels_;
     std::map<std::string, instant> holders_last_seen_;
     std::set<std::string> holders_being_released_;
-    std::map<state::item_key, instant> leased_at_; ///< when each lease was applied here
+    std::map<state::item_key, instant> leased_at_; ///< when each lease was applied or first seen
     instant next_expiry_check_{};
 };
 
--- a/lib/keeper/group_replica.cpp
+++ b/lib/keeper/group_replica.cpp
@@ -191,7 +191,7 @@
     auto proposal = pending_proposals_.find(entry->index());
     if (proposal == pending_proposals_.end())
         return;
-    // The entry at this index may come from another leader and have replaced the proposed one.
+    // Another leader's entry may have replaced the proposed one at this index.
     if (proposal->second.term != term_number(entry->term()))
         reply.set_result(schema::keeper_reply::unavailable);
     reply_callback send_reply = std::move(proposal->second.reply);
--- a/lib/keeper/heartbeat_queue.cpp
+++ b/lib/keeper/heartbeat_queue.cpp
@@ -8,8 +8,8 @@
     pending_[heartbeat.entry()] = heartbeat;
 }
 
-// Continues, in the order of names, after the gateway answered last. Always starting at the front
-// would never reach the last gateways on a keeper that can't answer all heartbeats.
+// Continues, in the order of names, after the gateway served last. Always starting at the front
+// would never reach the last gateways on a keeper that can't respond to all heartbeats.
 std::optional<schema::entry_hello> heartbeat_queue::next() {
     if (pending_.empty())
         return std::nullopt;
--- a/lib/keeper/membership_planner.cpp
+++ b/lib/keeper/membership_planner.cpp
@@ -93,7 +93,8 @@
                 member.voter && member.disk != group.self() && !group.is_active(member.disk, now);
             return unresponsive || is_retiring(member.disk);
         });
-    // Learners are added one at a time, because each costs the leader a copy of the state.
+    // Learners are added one at a time, because each costs the leader a copy of the state. A new
+    // disk of a member's node is added regardless: it is to replace that node's old disk.
     const bool has_active_learner =
         std::any_of(members.begin(), members.end(), [&group, now](const consensus::member& member) {
             return !member.voter && group.is_active(member.disk, now);
--- a/lib/keeper/service.cpp
+++ b/lib/keeper/service.cpp
@@ -13,11 +13,11 @@
 using state::control_group;
 constexpr milliseconds tick_interval(25);
 constexpr milliseconds keeper_heartbeat_interval(300);
-// An idle spare sends a hello only in every third interval: it reports nothing but that it is
+// A standby sends a heartbeat only in every third interval: it reports nothing but that it is
 // alive.
 constexpr std::uint32_t standby_heartbeat_divisor = 3;
-// Replacing a lost member takes three membership changes, one per interval. Platforms allow five
-// seconds for a replacement.
+// Replacing a lost member takes three membership changes, one per interval, which has to be well
+// within the five seconds that platforms allow for a replacement.
 constexpr milliseconds membership_check_interval(200);
 constexpr milliseconds segment_removal_interval(5000);
 constexpr milliseconds traffic_log_interval(10000);
@@ -310,8 +310,8 @@
         });
 }
 
-// A member that is being added has no member list yet but has to answer its leader, so addresses
-// are also taken from what keepers report about themselves.
+// A member that is being added has no member list yet but has to respond to its leader, so
+// addresses are also taken from what keepers report about themselves.
 peer_address service::address_of(const schema::raft_message& message) const {
     const disk_id disk(message.to());
     for (const consensus::member& member :
--- a/lib/keeper/service_api.cpp
+++ b/lib/keeper/service_api.cpp
@@ -18,7 +18,7 @@
 // second for the connection, so a gateway is delisted after three missed heartbeats; a lost packet
 // delays one by 200 ms.
 constexpr milliseconds gateway_serving_timeout(900);
-// An endpoint waits a second for the answer and then asks the next keeper.
+// An endpoint waits a second for the response and then asks the next keeper.
 constexpr milliseconds announcement_timeout(800);
 // A leader reports the members of its groups several times a second.
 constexpr milliseconds group_view_timeout(1000);
--- a/lib/keeper/service_discovery.cpp
+++ b/lib/keeper/service_discovery.cpp
@@ -107,7 +107,7 @@
         const microseconds age = now - other.second.last_seen;
         if (age >= keeper_timeout || other.first == keeper.heartbeat.node())
             continue;
-        // A spare needs no news of the other spares, which may be many.
+        // A standby needs no news of the other standbys, which may be many.
         if (is_standby_receiver && is_standby_keeper(other.second.heartbeat, members))
             continue;
         schema::keeper_hello* added = news->add_keepers();
@@ -124,8 +124,8 @@
     hub_->send(to, envelope);
 }
 
-// A gateway sends most of its heartbeats to the keeper that it follows. That keeper passes on that
-// it is alive, so that all keepers give callers the same list of gateways.
+// A gateway sends most of its heartbeats to the keeper that it follows. That keeper tells the other
+// keepers that the gateway is alive, so that all give callers the same list of gateways.
 void service::write_sightings(schema::keeper_news& news) const {
     const instant now = monotonic_now();
     for (const std::pair<const std::string, known_gateway>& gateway : gateways_) {
@@ -187,8 +187,8 @@
                                                   news.directory_revision()};
     if (!changed)
         return;
-    // The other keeper may have to wait until this one has an endpoint's announcement before it
-    // acknowledges that.
+    // The sender may need this keeper's acknowledgement, which the heartbeat carries, before it can
+    // acknowledge an endpoint's announcement.
     send_keeper_heartbeat(peer_address(news.self().address()));
     schedule_beacon_push();
 }
@@ -272,8 +272,8 @@
     return !heartbeat.control() && !members.empty() && members.count(heartbeat.disk()) == 0;
 }
 
-// As last reported by the leaders of the groups. If none has reported recently, the initial
-// members, since some of them may still be members.
+// Uses the member lists that the groups' leaders last reported. If no leader has reported recently,
+// falls back on the initial members, since some of them may still be members.
 std::set<std::uint64_t> service::work_group_disks(instant now) const {
     std::set<std::uint64_t> disks;
     for (const std::pair<const std::string, known_keeper>& keeper : keepers_) {
--- a/lib/keeper/service_gateways.cpp
+++ b/lib/keeper/service_gateways.cpp
@@ -15,10 +15,10 @@
 using state::control_group;
 constexpr milliseconds gateway_forget_timeout(60000);
 constexpr milliseconds incarnation_overlap(1000);
-// Adds little to the 3 s of silence after which gateways and keepers are presumed dead.
+// A thirtieth of the 3 s without a heartbeat after which gateways and keepers are presumed dead.
 constexpr milliseconds list_refresh_interval(100);
 constexpr milliseconds push_time_per_gateway(1);
-// Heartbeats answered before further messages are read.
+// Heartbeats responded to before further messages are read.
 constexpr std::size_t heartbeat_batch = 16;
 } // namespace
 
@@ -26,8 +26,8 @@
     return heartbeat.entry() + "/" + std::to_string(heartbeat.incarnation());
 }
 
-// Raft messages must be handled in time however many gateways there are, so a heartbeat is answered
-// only after the messages that have already arrived.
+// Raft messages must be handled in time however many gateways there are, so a heartbeat is
+// responded to only after the messages that have already arrived.
 void service::queue_heartbeat(const schema::entry_hello& heartbeat) {
     heartbeat_queue_.add(heartbeat);
     if (std::exchange(heartbeats_scheduled_, true))
@@ -49,7 +49,8 @@
     const instant now = monotonic_now();
     known_gateway& gateway = gateways_[heartbeat.entry()];
     // A lower incarnation is usually a delayed message of an earlier process. But a VM that was
-    // restarted may start counting again, so it is accepted once the higher one has been silent.
+    // restarted may start counting again, so a lower one is accepted once the higher one
+    // has not been seen for `incarnation_overlap`.
     if (heartbeat.incarnation() < gateway.heartbeat.incarnation() &&
         now - gateway.last_seen < incarnation_overlap)
         return;
@@ -99,8 +100,8 @@
     write_keepers(gateway, beacon);
 }
 
-// With seeds, gateways talk only to work keepers that are members of a work group. The others,
-// which may be many, are left out.
+// With seeds, gateways talk only to work keepers that are members of a work group. The
+// standbys, which may be many, are left out.
 void service::write_keepers(const known_gateway& gateway, schema::keeper_beacon& beacon) const {
     const instant now = monotonic_now();
     beacon.set_keepers_digest(keepers_digest_);
--- a/lib/keeper/service_requests.cpp
+++ b/lib/keeper/service_requests.cpp
@@ -1,4 +1,4 @@
-// Dispatch of messages, requests from gateways, and hellos of other keepers.
+// Dispatch of messages, requests from gateways, and heartbeats of other keepers.
 
 #include "cassia/keeper/service.h"
 
@@ -65,8 +65,8 @@
     };
     const instant now = monotonic_now();
     metrics_.count("requests");
-    // Proposals are made by the leader only, and queries are answered from its state, which is up
-    // to date only while no other member can lead. A valid lease is required for both.
+    // Only the leader proposes, and queries read its state, which is up to date only while no other
+    // member can lead. So both require a valid leader lease.
     if (!replica->second->raft().leads() || !replica->second->raft().may_read(now)) {
         schema::keeper_reply refusal;
         refusal.set_result(replica->second->raft().leads() ? schema::keeper_reply::unavailable
@@ -181,7 +181,8 @@
 
 void service::on_keeper_heartbeat(const schema::keeper_hello& heartbeat) {
     record_keeper(heartbeat, monotonic_now());
-    // An initial member that missed the bootstrap learns from the others who the members are.
+    // An initial member that missed the bootstrap learns the list of members from the other
+    // keepers.
     const bool bootstrapped = !hosts_control() || replicas_.at(control_group)->is_bootstrapped();
     if (!bootstrapped && heartbeat.control() && heartbeat.founders().members_size() > 0)
         initial_members_ = consensus::members_from_proto(heartbeat.founders());
--- a/lib/keeper/work_leader.cpp
+++ b/lib/keeper/work_leader.cpp
@@ -10,9 +10,9 @@
 namespace cassia::keeper {
 
 namespace {
-// How long the answer to a cancellation waits for the gateways to stop the job's items. A gateway
-// that loses contact with the group's leader stops starting items before this time has passed, so
-// no item starts after the answer in either case.
+// How long the response to a cancellation waits for the gateways to stop the job's items. A gateway
+// that doesn't hear the group's leader for 3 s starts no more items, so no item starts after the
+// response even if that gateway couldn't be told.
 constexpr milliseconds cancel_timeout(4000);
 // A gateway ignores the reply to a lease request after 3 s. An item that it doesn't hold this long
 // after the lease was applied has never reached it.
@@ -177,8 +177,8 @@
     return stale;
 }
 
-// A gateway that was silent for a while has lost its leases and may not know it. It would go on
-// running the items even after their job ended, as that is announced to holders of leases only.
+// A gateway that was unresponsive for a while has lost its leases and may not know it. It would go
+// on running the items even after their job ended, as that is announced to holders of leases only.
 schema::stale_items work_leader::find_stale_items(const schema::held_items& held) const {
     schema::stale_items stale;
     const std::set<state::item_key> leased = state_.leases_of(held.holder());
@@ -206,8 +206,8 @@
                          instant now) {
     const job_id cancelled_job(command.cancel().job());
     hooks_.propose(command, [this, cancelled_job, reply, now](schema::keeper_reply response) {
-        // Callers of a listed job see each item's end in its list, so they needn't wait for the
-        // answer.
+        // A listed job keeps its results in the order in which items ended. Its callers see each
+        // end there, so the response needn't wait for the items.
         auto job_entry = state_.jobs().find(cancelled_job);
         const bool listed = job_entry != state_.jobs().end() && job_entry->second.listed;
         const bool must_wait = response.result() == schema::keeper_reply::done && !listed &&
@@ -219,8 +219,8 @@
     });
 }
 
-// A cancellation is answered once no gateway holds an item of the job any more, so that no item
-// starts after the answer.
+// Responds to a cancellation once no gateway holds an item of the job any more, so that no item
+// starts after the response.
 void work_leader::respond_to_settled_cancels(instant now) {
     std::vector<pending_cancel> still_pending;
     for (pending_cancel& cancel : pending_cancels_) {
@@ -240,7 +240,7 @@
 
 void work_leader::mark_holder_alive(const std::string& holder, instant now) {
     holders_last_seen_[holder] = now;
-    // Any other incarnation of the same gateway is taken for an older one, which is gone.
+    // Any other incarnation of the same gateway is presumed to be an earlier process, now dead.
     const std::string gateway_prefix = holder.substr(0, holder.rfind('/') + 1);
     for (const std::string& other : state_.holders()) {
         const bool same_gateway =
