--- a/lib/keeper/store.cpp
+++ b/lib/keeper/store.cpp
@@ -97,8 +97,7 @@
     if (!replayed)
         return failure(replayed.error());
     if (unreadable)
-        return failure(
-            storage::error{storage::errc::corrupt, "log holds a record of no known form"});
+        return failure(storage::error{storage::errc::corrupt, "a log record can't be parsed"});
     return recovered;
 }
 
@@ -108,7 +107,8 @@
         const std::uint64_t number =
             std::strtoull(content.value().c_str(), nullptr, hexadecimal_base);
         if (number == 0)
-            return failure(storage::error{storage::errc::corrupt, "unreadable disk identity"});
+            return failure(storage::error{storage::errc::corrupt,
+                                          "identity file holds no hexadecimal disk id"});
         return disk_id(number);
     }
     if (content.error().code != storage::errc::missing)
@@ -171,12 +171,14 @@
         return bytes;
     schema::wal_record record;
     if (!record.ParseFromString(bytes.value()))
-        return failure(storage::error{storage::errc::corrupt, "unreadable record"});
+        return failure(
+            storage::error{storage::errc::corrupt, "the log record of a command can't be parsed"});
     if (record.has_entry())
         return std::move(*record.mutable_entry()->mutable_payload());
     if (record.record_case() == schema::wal_record::kBody)
         return std::move(*record.mutable_body());
-    return failure(storage::error{storage::errc::missing, "the record holds no command"});
+    return failure(
+        storage::error{storage::errc::missing, "the log record holds neither an entry nor a body"});
 }
 
 } // namespace cassia::keeper
--- a/unittests/keeper/endpoint_file_test.cpp
+++ b/unittests/keeper/endpoint_file_test.cpp
@@ -43,7 +43,7 @@
     membership::directory after({});
     CHECK(decode_endpoints(after, content, start) == 3);
     CHECK(serving_ids(after, start) == std::set<std::string>{"1", "2"});
-    SECTION("until their silence times out") {
+    SECTION("until no announcement has arrived for the endpoint timeout") {
         after.announced(make_endpoint("1", 6), start + milliseconds(900));
         CHECK(serving_ids(after, start + milliseconds(2100)) == std::set<std::string>{"1"});
     }
--- a/unittests/keeper/gateway_heartbeat_test.cpp
+++ b/unittests/keeper/gateway_heartbeat_test.cpp
@@ -1,4 +1,4 @@
-// How a keeper answers the heartbeats of many gateways.
+// How a keeper responds to the heartbeats of many gateways.
 
 #include "cassia/keeper/heartbeat_queue.h"
 #include "cassia/keeper/route_table_delivery.h"
@@ -22,7 +22,7 @@
 } // namespace
 
 // Guards against a queue of outdated heartbeats that grows while the keeper is busy.
-TEST_CASE("only the latest heartbeat of each gateway is queued", "[hello]") {
+TEST_CASE("only the latest heartbeat of each gateway is queued", "[heartbeat]") {
     heartbeat_queue queue;
     for (std::uint64_t round = 1; round <= 50; ++round) {
         for (int i = 0; i < 20; ++i)
@@ -37,8 +37,10 @@
     CHECK(queue.empty());
 }
 
-// Guards against starvation: heartbeats arrive four times as fast as they can be answered.
-TEST_CASE("an overloaded keeper answers gateways round-robin", "[hello]") {
+// Guards against starvation: heartbeats arrive four times as fast as they are served, and
+// gateways that come last in the order of names must get their turn.
+TEST_CASE("an overloaded keeper serves the heartbeats of all gateways equally often",
+          "[heartbeat]") {
     heartbeat_queue queue;
     std::map<std::string, int> served;
     for (std::uint64_t round = 0; round < 400; ++round) {
@@ -53,7 +55,7 @@
 }
 
 // Guards against sending a large route table with every heartbeat while it is in transit.
-TEST_CASE("a route table in transit is not sent again", "[hello]") {
+TEST_CASE("a route table in transit is not sent again", "[heartbeat]") {
     const instant start(std::chrono::seconds(100));
     route_table_delivery delivery;
     CHECK(delivery.is_due(5, 4, start));
--- a/unittests/keeper/membership_planner_test.cpp
+++ b/unittests/keeper/membership_planner_test.cpp
@@ -18,7 +18,7 @@
     return {node, disk_id(disk), "", empty, last_seen};
 }
 
-// A group led by disk 1 of node k1, with further members that never answer.
+// A group led by disk 1 of node k1, with further members that never respond.
 consensus::raft_group make_leader(const consensus::member_list& others) {
     consensus::member_list members{{disk_id(1), "k1", "", true}};
     consensus::raft_group group(group_id(0), disk_id(1), consensus::raft_settings(),
@@ -64,11 +64,11 @@
     CHECK_FALSE(planner.next_change(group, now + milliseconds(3500)));
 }
 
-TEST_CASE("a spare is added only while a voter is silent", "[keeper]") {
+TEST_CASE("no standby is added while all voters respond", "[keeper]") {
     const instant now = start + milliseconds(1600);
     membership_planner planner({"k1"});
     const consensus::raft_group group = make_leader({});
-    planner.update(make_status("spare", 9, true, now));
+    planner.update(make_status("standby", 9, true, now));
     CHECK_FALSE(planner.next_change(group, now));
 }
 
@@ -134,7 +134,7 @@
 
 // A retired keeper is taken away with its disk at once. Guards against removing it from its group
 // before its replacement votes: the next loss would then cost acknowledged jobs.
-TEST_CASE("a retiring member is removed only after its replacement has joined", "[keeper]") {
+TEST_CASE("a retiring member stays until its replacement has joined", "[keeper]") {
     const instant now = start + milliseconds(1600);
     membership_planner planner({"k1", "k2"});
     planner.set_target_size(2);
--- a/unittests/keeper/snapshot_schedule_test.cpp
+++ b/unittests/keeper/snapshot_schedule_test.cpp
@@ -22,8 +22,9 @@
     CHECK_FALSE(schedule.is_due({1, 0, 0}, start + std::chrono::hours(1)));
 }
 
-TEST_CASE("a change is in a snapshot within the interval, so that a restart needs no leader",
-          "[keeper]") {
+// Guards against a restart after which the latest changes are only in the log, and so unavailable
+// until the group has a leader.
+TEST_CASE("a snapshot with the latest change is due within the interval", "[keeper]") {
     snapshot_schedule schedule(1000, milliseconds(500));
     CHECK(schedule.is_due({1, 0, 0}, start));
     schedule.on_snapshot_taken(start);
--- a/unittests/keeper/work_leader_test.cpp
+++ b/unittests/keeper/work_leader_test.cpp
@@ -89,8 +89,8 @@
 } // namespace
 
 // Guards against items that run after their job's cancellation was confirmed: a gateway that was
-// silent for a while lost its lease, another one got the item, and only that one was told that the
-// job ended. An item reached an engine five seconds after the confirmation.
+// unresponsive for a while lost its lease, a second gateway got the item, and only the second was
+// told that the job ended. The item reached an engine five seconds after the confirmation.
 TEST_CASE("a holder is told which of its items are no longer leased to it", "[work_leader]") {
     work_group_fixture group;
     group.lease("g1/1", 0);
@@ -105,9 +105,9 @@
     CHECK(group.report_held("g2/1", 0, 2).jobs_size() == 0);
 }
 
-// Guards against an item that runs on two gateways at once, and on after its job ended: a restarted
-// gateway asked for items before its first heartbeat arrived, and the leader presumed that a holder
-// it had never heard of had been silent since the leader's term began.
+// Guards against an item that runs on two gateways at once, and that goes on running after its job
+// ended: a restarted gateway asked for items before its first heartbeat arrived, and the leader
+// presumed that this holder, unknown to it, had been unresponsive since the leader's term began.
 TEST_CASE("a lease request shows that its holder is alive", "[work_leader]") {
     work_group_fixture group;
     const instant later = start + milliseconds(20000);
@@ -124,8 +124,9 @@
     CHECK(group.state.leases_of("g1/2").empty());
 }
 
-// Guards against an item that waits five seconds for nothing: it was released and leased to the
-// same gateway again, and the message that the first lease was lost stopped the second attempt.
+// Guards against an item that waits five seconds although its gateway could run it: it was released
+// and leased to the same gateway again, and the message that the first lease was lost stopped the
+// second attempt.
 TEST_CASE("only the attempt whose lease was lost is stale", "[work_leader]") {
     work_group_fixture group;
     group.lease("g1/1", 1);
