--- a/lib/keeper/work_leader.cpp
+++ b/lib/keeper/work_leader.cpp
@@ -70,8 +70,8 @@
 
 std::vector<policy::job_candidate> work_leader::find_candidates(const std::string& service) const {
     std::vector<policy::job_candidate> candidates;
-    for (const std::pair<const job_id, state::batch_job>& entry : state_.jobs()) {
-        const state::batch_job& job = entry.second;
+    for (const std::pair<const job_id, state::batch_job>& known_job : state_.jobs()) {
+        const state::batch_job& job = known_job.second;
         const bool open =
             job.status == state::job_status::queued || job.status == state::job_status::running;
         if (!open)
@@ -208,8 +208,8 @@
     hooks_.propose(command, [this, cancelled_job, reply, now](schema::keeper_reply response) {
         // A listed job keeps its results in the order in which items ended. Its callers see each
         // end there, so the response needn't wait for the items.
-        auto job_entry = state_.jobs().find(cancelled_job);
-        const bool listed = job_entry != state_.jobs().end() && job_entry->second.listed;
+        auto found_job = state_.jobs().find(cancelled_job);
+        const bool listed = found_job != state_.jobs().end() && found_job->second.listed;
         const bool must_wait = response.result() == schema::keeper_reply::done && !listed &&
                                response.work().job().status() == "cancelling";
         if (must_wait)
