--- a/include/cassia/keeper/service.h
+++ b/include/cassia/keeper/service.h
@@ -139,8 +139,11 @@
                     const group_replica::reply_callback& reply);
     void reconcile_held_items(const schema::held_items& held, group_id group,
                               const std::string& reply_to);
+    /// Replies with the recorded configuration changes; only the latest with its documents.
     void serve_history(const schema::keeper_request& request,
                        const group_replica::reply_callback& reply);
+    /// Proposes the claim of an idempotency key. If the key's request has already completed, its
+    /// stored response is added to the reply.
     void propose_claim(const schema::work_command& command, group_id group,
                        const group_replica::reply_callback& reply);
     std::string leader_node(const group_replica& replica) const;
@@ -149,6 +152,8 @@
     void on_gateway_heartbeat(const schema::entry_hello& heartbeat);
     /// Sends a gateway what it lacks: in response to its heartbeat, or to push a change.
     void send_beacon(known_gateway& gateway);
+    /// Writes whether this keeper leads or hears the leader of the control group, and the
+    /// configuration, routes, endpoints and keepers that the gateway lacks.
     void write_control_state(const known_gateway& gateway, schema::keeper_beacon& beacon) const;
     void write_gateways(const known_gateway& gateway, schema::keeper_beacon& beacon) const;
     void write_keepers(const known_gateway& gateway, schema::keeper_beacon& beacon) const;
@@ -186,7 +191,7 @@
     std::string metrics_text();
     std::string dump() const;
 
-    // Discovery of other keepers by seeds, and what keepers tell each other
+    // Discovery of other keepers by seeds, and the news that keepers send each other
     // (service_discovery.cpp).
     bool hosts_control() const { return settings_.groups() != "work"; }
     bool hosts_work() const { return settings_.groups() != "control"; }
@@ -196,9 +201,11 @@
     /// Whether the work groups exist, and this keeper holds the state of none of them.
     bool is_standby() const;
     void record_keeper(const schema::keeper_hello& heartbeat, instant seen);
+    /// Sends a keeper what this one knows of other keepers, work groups, endpoints and gateways.
     void send_news(const peer_address& to, const known_keeper& keeper);
     void on_news(const schema::keeper_news& news);
     void push_news();
+    /// Proposes the initial members of the work groups to the control group, if not decided yet.
     void propose_work_group_members();
     void bootstrap_work_groups(const schema::group_members& proto);
     const known_keeper* find_work_keeper(const std::string& name) const;
@@ -215,6 +222,7 @@
     /// \param members disks of the members of the work groups.
     static bool is_standby_keeper(const schema::keeper_hello& heartbeat,
                                   const std::set<std::uint64_t>& members);
+    /// Digest of the list of keepers that gateways are sent.
     std::uint64_t compute_keepers_digest() const;
 
     schema::keeper_settings settings_;
