--- a/include/cassia/keeper/snapshot_transfer.h
+++ b/include/cassia/keeper/snapshot_transfer.h
@@ -30,7 +30,7 @@
                     std::vector<storage::position> positions);
 
     std::uint64_t index() const { return base_.index; }
-    /// The part to send now; none while an acknowledgement is awaited.
+    /// The part to send now: the next one, or the same again if its acknowledgement is late.
     /// Fails if a body is no longer in the log: the transfer has to be restarted.
     storage::result<std::optional<schema::snapshot_part>> next_part(instant now,
                                                                     const command_reader& read);
--- a/include/cassia/keeper/state_machine.h
+++ b/include/cassia/keeper/state_machine.h
@@ -1,4 +1,5 @@
-/// The state machine interface of a replicated group, as a set of functions.
+/// The state machine interface of a replicated group, as a set of functions, so that one class,
+/// group_replica, serves every kind of state.
 #pragma once
 
 #include "cassia/storage/write_ahead_log.h"
--- a/include/cassia/keeper/store.h
+++ b/include/cassia/keeper/store.h
@@ -36,9 +36,9 @@
 public:
     store(std::string folder, std::uint64_t segment_bytes, storage::disk_hooks disk);
 
-    /// Reads the data directory. If the log or a snapshot is damaged, the directory is renamed and
-    /// an empty one with a new identity takes its place: the member may have lost votes and
-    /// acknowledged entries, and must join its groups as a new member.
+    /// Reads the data directory. If the log, a snapshot or the identity is damaged, the directory
+    /// is renamed and an empty one with a new identity takes its place: the member may have lost
+    /// votes and acknowledged entries, and must join its groups as a new member.
     storage::result<recovered_store> open();
 
     storage::write_ahead_log& log() { return *log_; }
