--- a/include/cassia/keeper/heartbeat_queue.h
+++ b/include/cassia/keeper/heartbeat_queue.h
@@ -1,4 +1,4 @@
-/// Gateways' heartbeats that wait to be answered: only the latest of each gateway, served
+/// Gateways' heartbeats that wait for a response: only the latest of each gateway, served
 /// round-robin. Pure.
 #pragma once
 
@@ -19,7 +19,7 @@
 
 private:
     std::map<std::string, schema::entry_hello> pending_; ///< by gateway
-    std::string last_answered_;                          ///< gateway
+    std::string last_served_;                            ///< gateway
 };
 
 } // namespace cassia::keeper
--- a/include/cassia/keeper/service.h
+++ b/include/cassia/keeper/service.h
@@ -59,11 +59,12 @@
 
     /// Puts a validated route table in force; done once it is committed and applied.
     void put_routes(const schema::route_table& table, const control_callback& done);
-    /// Returns the route table in force, by a linearizable read.
+    /// Passes the route table in force to `done`, by a linearizable read.
     void read_routes(const control_callback& done);
-    /// Records an endpoint's announcement. Calls `done(true)` once losing this keeper can't lose
-    /// it: at once for a heartbeat; when the endpoint is leaving or gone, after a majority of the
-    /// control group has it. Calls `done(false)` if that takes too long.
+    /// Records an endpoint's announcement and calls `done(true)`: at once unless the
+    /// endpoint is leaving or gone, because a live endpoint repeats its announcement; otherwise
+    /// once a majority of the control group has the record, so that losing this keeper can't lose
+    /// it. Calls `done(false)` if that takes too long.
     void announce_endpoint(const schema::endpoint_record& record, std::function<void(bool)> done);
     /// Records that an endpoint is gone. \param incarnation 0: the latest known one.
     void remove_endpoint(const endpoint_id& endpoint, std::uint64_t incarnation,
@@ -86,7 +87,8 @@
     net::task& owner() { return task_; }
 
 private:
-    /// Silence after which a peer is presumed dead: ten hellos of a keeper, twelve of a gateway.
+    /// Time without a heartbeat after which a peer is presumed dead: ten intervals of a keeper's
+    /// heartbeat, twelve of a gateway's.
     static constexpr milliseconds keeper_timeout{3000};
     static constexpr milliseconds gateway_timeout{3000};
 
@@ -95,14 +97,14 @@
         std::unique_ptr<work_leader> leader;
     };
     struct known_gateway {
-        schema::entry_hello hello; ///< last heartbeat
-        instant last_seen{};       ///< by this keeper or another one
-        instant last_heartbeat{};  ///< received by this keeper
+        schema::entry_hello heartbeat;   ///< the latest; `draining` also from other keepers
+        instant last_seen{};             ///< by any keeper
+        instant heartbeat_received_at{}; ///< by this keeper
         route_table_delivery route_table;
-        bool listed = false; ///< whether callers are directed to it, as last logged
+        bool serving = false; ///< whether callers are directed to it, as last logged
     };
     struct known_keeper {
-        schema::keeper_hello hello;
+        schema::keeper_hello heartbeat;
         instant last_seen{};
     };
     /// An announcement that is acknowledged once a majority of the control group has it.
@@ -137,15 +139,21 @@
                     const group_replica::reply_callback& reply);
     void reconcile_held_items(const schema::held_items& held, group_id group,
                               const std::string& reply_to);
+    /// Replies with the recorded configuration changes; only the latest with its documents.
     void serve_history(const schema::keeper_request& request,
                        const group_replica::reply_callback& reply);
+    /// Proposes the claim of an idempotency key. If the key's request has already completed, its
+    /// stored response is added to the reply.
     void propose_claim(const schema::work_command& command, group_id group,
                        const group_replica::reply_callback& reply);
     std::string leader_node(const group_replica& replica) const;
-    void queue_heartbeat(const schema::entry_hello& hello);
-    void answer_queued_heartbeats();
-    void on_gateway_hello(const schema::entry_hello& hello);
+    void queue_heartbeat(const schema::entry_hello& heartbeat);
+    void respond_to_queued_heartbeats();
+    void on_gateway_heartbeat(const schema::entry_hello& heartbeat);
+    /// Sends a gateway what it lacks: in response to its heartbeat, or to push a change.
     void send_beacon(known_gateway& gateway);
+    /// Writes whether this keeper leads or hears the leader of the control group, and the
+    /// configuration, routes, endpoints and keepers that the gateway lacks.
     void write_control_state(const known_gateway& gateway, schema::keeper_beacon& beacon) const;
     void write_gateways(const known_gateway& gateway, schema::keeper_beacon& beacon) const;
     void write_keepers(const known_gateway& gateway, schema::keeper_beacon& beacon) const;
@@ -168,12 +176,13 @@
     /// Refreshes, at most once per `list_refresh_interval`, what would otherwise be computed for
     /// each heartbeat: the list of live gateways, and the digest of the list of keepers.
     void refresh_lists(instant now);
-    void on_keeper_hello(const schema::keeper_hello& hello);
-    void send_keeper_hello(const peer_address& to);
+    void on_keeper_heartbeat(const schema::keeper_hello& heartbeat);
+    void send_keeper_heartbeat(const peer_address& to);
     void on_config_applied();
     void schedule_beacon_push();
     void push_beacons();
-    bool holds_items(const schema::entry_hello& hello) const;
+    bool holds_items(const schema::entry_hello& heartbeat) const;
+    /// Tells the other control keepers which of the gateways that follow this one are alive.
     void write_sightings(schema::keeper_news& news) const;
     void merge_sightings(const schema::keeper_news& news, instant now);
 
@@ -182,34 +191,38 @@
     std::string metrics_text();
     std::string dump() const;
 
-    // Discovery of other keepers by seeds, and what keepers tell each other
+    // Discovery of other keepers by seeds, and the news that keepers send each other
     // (service_discovery.cpp).
     bool hosts_control() const { return settings_.groups() != "work"; }
     bool hosts_work() const { return settings_.groups() != "control"; }
     bool uses_seeds() const { return settings_.cluster().seed_size() > 0; }
     std::size_t group_size() const { return 2 * std::size_t{settings_.tolerated_losses()} + 1; }
-    std::vector<peer_address> hello_targets() const;
-    /// Whether the work groups exist, and this keeper is a member of none of them.
-    bool is_idle_spare() const;
-    void record_keeper(const schema::keeper_hello& hello, instant seen);
+    std::vector<peer_address> heartbeat_targets() const;
+    /// Whether the work groups exist, and this keeper holds the state of none of them.
+    bool is_standby() const;
+    void record_keeper(const schema::keeper_hello& heartbeat, instant seen);
+    /// Sends a keeper what this one knows of other keepers, work groups, endpoints and gateways.
     void send_news(const peer_address& to, const known_keeper& keeper);
     void on_news(const schema::keeper_news& news);
     void push_news();
+    /// Proposes the initial members of the work groups to the control group, if not decided yet.
     void propose_work_group_members();
     void bootstrap_work_groups(const schema::group_members& proto);
     const known_keeper* find_work_keeper(const std::string& name) const;
     std::set<disk_id> retiring_disks() const;
     bool is_serving(const known_gateway& gateway, instant now) const;
-    void log_listed_gateways();
-    void answer_pending_announcements();
+    void log_serving_changes();
+    void respond_to_pending_announcements();
     void restore_endpoints();
     void save_endpoints();
-    schema::keeper_hello own_hello(const peer_address& to) const;
+    schema::keeper_hello own_heartbeat(const peer_address& to) const;
     /// Disks of the members of the work groups.
     std::set<std::uint64_t> work_group_disks(instant now) const;
-    /// Whether a keeper is a member of no group and stands by to replace one.
+    /// Whether a keeper is a member of no group and stands by to replace a member.
     /// \param members disks of the members of the work groups.
-    static bool is_spare(const schema::keeper_hello& hello, const std::set<std::uint64_t>& members);
+    static bool is_standby_keeper(const schema::keeper_hello& heartbeat,
+                                  const std::set<std::uint64_t>& members);
+    /// Digest of the list of keepers that gateways are sent.
     std::uint64_t compute_keepers_digest() const;
 
     schema::keeper_settings settings_;
@@ -240,9 +253,9 @@
     std::map<std::string, std::pair<std::uint64_t, std::uint64_t>>
         received_revisions_; ///< epoch and revision of each keeper's directory, by its address
     std::vector<pending_announcement> pending_announcements_;
-    instant enough_candidates_since_{}; ///< to form the work groups; instant() while too few
-    std::size_t known_retiring_ = 0;
-    std::uint64_t saved_changes_ = 0; ///< of the directory: those saved or being saved
+    instant enough_candidates_since_{}; ///< to bootstrap the work groups; instant() while too few
+    std::size_t known_retiring_count_ = 0; ///< size of the longest list received
+    std::uint64_t saved_changes_ = 0;      ///< directory_.changes() at the last save or restore
     bool saving_endpoints_ = false;
     std::uint64_t beacon_counter_ = 0; ///< counts up while this keeper leads the control group
     std::uint64_t keepers_digest_ = 0;
@@ -251,10 +264,10 @@
     heartbeat_queue heartbeat_queue_;
     bool heartbeats_scheduled_ = false;
     bool beacon_push_scheduled_ = false;
-    instant last_push_{};               ///< of beacons, because of a change
-    microseconds min_push_interval_{0}; ///< from the last push to the next
-    bool work_groups_formed_ = false;   ///< as the control group reports
-    std::uint32_t hello_rounds_ = 0;    ///< while this keeper is an idle spare
+    instant last_push_{};                   ///< of beacons, because of a change
+    microseconds min_push_interval_{0};     ///< from the last push to the next
+    bool work_groups_bootstrapped_ = false; ///< as the control group reports
+    std::uint32_t heartbeat_rounds_ = 0;    ///< while this keeper is a standby
     bool stopping_ = false;
     int exit_code_ = 0;
 };
--- a/lib/keeper/group_replica.cpp
+++ b/lib/keeper/group_replica.cpp
@@ -176,8 +176,7 @@
         const consensus::log_entry_ptr& last = actions.new_entries.back();
         pending.appended.push_back({settings_.group, last->index(), term_number(last->term())});
     }
-    std::move(actions.messages_after_sync.begin(), actions.messages_after_sync.end(),
-              std::back_inserter(pending.messages));
+    std::move(actions.messages_after_sync.begin(), actions.messages_after_sync.end(), std::back_inserter(pending.messages));
 }
 
 void group_replica::on_persisted(std::uint64_t index, term_number term) {
@@ -192,7 +191,7 @@
     auto proposal = pending_proposals_.find(entry->index());
     if (proposal == pending_proposals_.end())
         return;
-    // The entry at this index may come from another leader and have replaced the proposed one.
+    // Another leader's entry may have replaced the proposed one at this index.
     if (proposal->second.term != term_number(entry->term()))
         reply.set_result(schema::keeper_reply::unavailable);
     reply_callback send_reply = std::move(proposal->second.reply);
--- a/lib/keeper/service_api.cpp
+++ b/lib/keeper/service_api.cpp
@@ -18,7 +18,7 @@
 // second for the connection, so a gateway is delisted after three missed heartbeats; a lost packet
 // delays one by 200 ms.
 constexpr milliseconds gateway_serving_timeout(900);
-// An endpoint waits a second for the answer and then asks the next keeper.
+// An endpoint waits a second for the response and then asks the next keeper.
 constexpr milliseconds announcement_timeout(800);
 // A leader reports the members of its groups several times a second.
 constexpr milliseconds group_view_timeout(1000);
@@ -82,7 +82,7 @@
     pending_announcements_.push_back(
         {directory_.revision(), now + announcement_timeout, std::move(done)});
     push_news();
-    answer_pending_announcements();
+    respond_to_pending_announcements();
 }
 
 // An endpoint unknown to this keeper is recorded as gone too: earlier announcements may still be in
@@ -131,35 +131,36 @@
 
 // Once it is acknowledged that an endpoint leaves or is gone, every gateway must learn of it even
 // if this keeper dies right afterwards. So a majority of the control group must have it first.
-void service::answer_pending_announcements() {
+void service::respond_to_pending_announcements() {
     const instant now = monotonic_now();
     const std::size_t members =
         hosts_control() ? replicas_.at(control_group)->raft().log().members().size() : 0;
     std::vector<pending_announcement> still_pending;
-    std::vector<std::pair<std::function<void(bool)>, bool>> answers;
+    std::vector<std::pair<std::function<void(bool)>, bool>> responses;
     for (pending_announcement& announcement : pending_announcements_) {
         std::size_t acknowledged = 1;
         for (const std::pair<const std::string, known_keeper>& keeper : keepers_) {
-            const schema::keeper_hello& hello = keeper.second.hello;
-            if (hello.control() && hello.directory_epoch() == directory_epoch_ &&
-                hello.directory_revision() >= announcement.revision)
+            const schema::keeper_hello& heartbeat = keeper.second.heartbeat;
+            if (heartbeat.control() && heartbeat.directory_epoch() == directory_epoch_ &&
+                heartbeat.directory_revision() >= announcement.revision)
                 ++acknowledged;
         }
         const bool majority_has_it = acknowledged >= members / 2 + 1;
         if (majority_has_it || now >= announcement.deadline)
-            answers.emplace_back(std::move(announcement.done), majority_has_it);
+            responses.emplace_back(std::move(announcement.done), majority_has_it);
         else
             still_pending.push_back(std::move(announcement));
     }
     pending_announcements_ = std::move(still_pending);
-    for (const std::pair<std::function<void(bool)>, bool>& answer : answers)
-        answer.first(answer.second);
+    for (const std::pair<std::function<void(bool)>, bool>& response : responses)
+        response.first(response.second);
 }
 
 const service::known_keeper* service::find_work_keeper(const std::string& name) const {
     const known_keeper* found = nullptr;
     for (const std::pair<const std::string, known_keeper>& keeper : keepers_) {
-        const bool matches = keeper.second.hello.work() && keeper.second.hello.name() == name;
+        const bool matches =
+            keeper.second.heartbeat.work() && keeper.second.heartbeat.name() == name;
         if (matches && (found == nullptr || keeper.second.last_seen > found->last_seen))
             found = &keeper.second;
     }
@@ -188,12 +189,12 @@
         done({retire_outcome::not_found, ""});
         return;
     }
-    const disk_id disk(keeper->hello.disk());
+    const disk_id disk(keeper->heartbeat.disk());
     const std::set<disk_id> retiring = retiring_disks();
     std::size_t remaining = 0;
     for (const std::pair<const std::string, known_keeper>& other_keeper : keepers_) {
-        const disk_id other_disk(other_keeper.second.hello.disk());
-        const bool stays = other_keeper.second.hello.work() &&
+        const disk_id other_disk(other_keeper.second.heartbeat.disk());
+        const bool stays = other_keeper.second.heartbeat.work() &&
                            now - other_keeper.second.last_seen < keeper_timeout &&
                            other_disk != disk && retiring.count(other_disk) == 0;
         remaining += stays ? 1 : 0;
@@ -231,7 +232,7 @@
     for (const std::pair<const std::string, known_keeper>& keeper : keepers_) {
         if (now - keeper.second.last_seen >= group_view_timeout)
             continue;
-        for (const schema::group_view& view : keeper.second.hello.leads()) {
+        for (const schema::group_view& view : keeper.second.heartbeat.leads()) {
             const schema::group_view*& latest = views[view.group()];
             if (latest == nullptr || view.term() > latest->term())
                 latest = &view;
@@ -250,7 +251,7 @@
 }
 
 bool service::is_serving(const known_gateway& gateway, instant now) const {
-    return now - gateway.last_seen < gateway_serving_timeout && !gateway.hello.draining();
+    return now - gateway.last_seen < gateway_serving_timeout && !gateway.heartbeat.draining();
 }
 
 std::vector<schema::entry_hello> service::serving_gateways() const {
@@ -258,23 +259,23 @@
     const instant now = monotonic_now();
     for (const std::pair<const std::string, known_gateway>& gateway : gateways_) {
         if (is_serving(gateway.second, now))
-            serving.push_back(gateway.second.hello);
+            serving.push_back(gateway.second.heartbeat);
     }
     return serving;
 }
 
 // A dead gateway logs nothing itself. These events show while callers were directed to it in vain.
-void service::log_listed_gateways() {
+void service::log_serving_changes() {
     const instant now = monotonic_now();
     for (std::pair<const std::string, known_gateway>& gateway : gateways_) {
-        const bool listed = is_serving(gateway.second, now);
-        if (listed == gateway.second.listed)
+        const bool serving = is_serving(gateway.second, now);
+        if (serving == gateway.second.serving)
             continue;
-        gateway.second.listed = listed;
-        log_info(listed ? "entry_heard" : "entry_silent")
+        gateway.second.serving = serving;
+        log_info(serving ? "entry_heard" : "entry_silent")
             .with("entry", gateway.first)
-            .with("incarnation", gateway.second.hello.incarnation())
-            .with("draining", gateway.second.hello.draining() ? 1 : 0)
+            .with("incarnation", gateway.second.heartbeat.incarnation())
+            .with("draining", gateway.second.heartbeat.draining() ? 1 : 0)
             .with("age_ms",
                   std::chrono::duration_cast<milliseconds>(now - gateway.second.last_seen).count());
     }
--- a/lib/keeper/store.cpp
+++ b/lib/keeper/store.cpp
@@ -20,7 +20,7 @@
 namespace {
 constexpr const char* identity_file = "identity";
 constexpr const char* snapshot_prefix = "snapshot-";
-constexpr int hexadecimal = 16;
+constexpr int hexadecimal_base = 16;
 } // namespace
 
 store::store(std::string folder, std::uint64_t segment_bytes, storage::disk_hooks disk)
@@ -97,17 +97,18 @@
     if (!replayed)
         return failure(replayed.error());
     if (unreadable)
-        return failure(
-            storage::error{storage::errc::corrupt, "log holds a record of no known form"});
+        return failure(storage::error{storage::errc::corrupt, "a log record can't be parsed"});
     return recovered;
 }
 
 storage::result<disk_id> store::load_identity() {
     const storage::result<std::string> content = storage::read_file(folder_ + "/" + identity_file);
     if (content) {
-        const std::uint64_t number = std::strtoull(content.value().c_str(), nullptr, hexadecimal);
+        const std::uint64_t number =
+            std::strtoull(content.value().c_str(), nullptr, hexadecimal_base);
         if (number == 0)
-            return failure(storage::error{storage::errc::corrupt, "unreadable disk identity"});
+            return failure(storage::error{storage::errc::corrupt,
+                                          "identity file holds no hexadecimal disk id"});
         return disk_id(number);
     }
     if (content.error().code != storage::errc::missing)
@@ -121,7 +122,7 @@
     if (!written)
         return failure(written.error());
     log_info("disk_identity_made").with("disk", identity);
-    return disk_id(std::strtoull(identity.c_str(), nullptr, hexadecimal));
+    return disk_id(std::strtoull(identity.c_str(), nullptr, hexadecimal_base));
 }
 
 storage::result<void> store::load_snapshots(recovered_store& recovered) {
@@ -170,12 +171,14 @@
         return bytes;
     schema::wal_record record;
     if (!record.ParseFromString(bytes.value()))
-        return failure(storage::error{storage::errc::corrupt, "unreadable record"});
+        return failure(
+            storage::error{storage::errc::corrupt, "the log record of a command can't be parsed"});
     if (record.has_entry())
         return std::move(*record.mutable_entry()->mutable_payload());
     if (record.record_case() == schema::wal_record::kBody)
         return std::move(*record.mutable_body());
-    return failure(storage::error{storage::errc::missing, "the record holds no command"});
+    return failure(
+        storage::error{storage::errc::missing, "the log record holds neither an entry nor a body"});
 }
 
 } // namespace cassia::keeper
--- a/lib/keeper/work_leader.cpp
+++ b/lib/keeper/work_leader.cpp
@@ -10,9 +10,9 @@
 namespace cassia::keeper {
 
 namespace {
-// How long the answer to a cancellation waits for the gateways to stop the job's items. A gateway
-// that loses contact with the group's leader stops starting items before this time has passed, so
-// no item starts after the answer in either case.
+// How long the response to a cancellation waits for the gateways to stop the job's items. A gateway
+// that doesn't hear the group's leader for 3 s starts no more items, so no item starts after the
+// response even if that gateway couldn't be told.
 constexpr milliseconds cancel_timeout(4000);
 // A gateway ignores the reply to a lease request after 3 s. An item that it doesn't hold this long
 // after the lease was applied has never reached it.
@@ -36,9 +36,9 @@
     std::vector<pending_cancel> dropped = std::move(pending_cancels_);
     pending_cancels_.clear();
     for (const pending_cancel& cancel : dropped) {
-        schema::keeper_reply answer;
-        answer.set_result(schema::keeper_reply::unavailable);
-        cancel.reply(std::move(answer));
+        schema::keeper_reply response;
+        response.set_result(schema::keeper_reply::unavailable);
+        cancel.reply(std::move(response));
     }
 }
 
@@ -70,8 +70,8 @@
 
 std::vector<policy::job_candidate> work_leader::find_candidates(const std::string& service) const {
     std::vector<policy::job_candidate> candidates;
-    for (const std::pair<const job_id, state::batch_job>& entry : state_.jobs()) {
-        const state::batch_job& job = entry.second;
+    for (const std::pair<const job_id, state::batch_job>& known_job : state_.jobs()) {
+        const state::batch_job& job = known_job.second;
         const bool open =
             job.status == state::job_status::queued || job.status == state::job_status::running;
         if (!open)
@@ -177,8 +177,8 @@
     return stale;
 }
 
-// A gateway that was silent for a while has lost its leases and may not know it. It would go on
-// running the items even after their job ended, as that is announced to holders of leases only.
+// A gateway that was unresponsive for a while has lost its leases and may not know it. It would go
+// on running the items even after their job ended, as that is announced to holders of leases only.
 schema::stale_items work_leader::find_stale_items(const schema::held_items& held) const {
     schema::stale_items stale;
     const std::set<state::item_key> leased = state_.leases_of(held.holder());
@@ -205,23 +205,23 @@
 void work_leader::cancel(const schema::work_command& command, const reply_callback& reply,
                          instant now) {
     const job_id cancelled_job(command.cancel().job());
-    hooks_.propose(command, [this, cancelled_job, reply, now](schema::keeper_reply answer) {
-        // Callers of a listed job see each item's end in its list, so they needn't wait for the
-        // answer.
-        auto job_entry = state_.jobs().find(cancelled_job);
-        const bool listed = job_entry != state_.jobs().end() && job_entry->second.listed;
-        const bool must_wait = answer.result() == schema::keeper_reply::done && !listed &&
-                               answer.work().job().status() == "cancelling";
+    hooks_.propose(command, [this, cancelled_job, reply, now](schema::keeper_reply response) {
+        // A listed job keeps its results in the order in which items ended. Its callers see each
+        // end there, so the response needn't wait for the items.
+        auto found_job = state_.jobs().find(cancelled_job);
+        const bool listed = found_job != state_.jobs().end() && found_job->second.listed;
+        const bool must_wait = response.result() == schema::keeper_reply::done && !listed &&
+                               response.work().job().status() == "cancelling";
         if (must_wait)
             pending_cancels_.push_back({cancelled_job, reply, now + cancel_timeout});
         else
-            reply(std::move(answer));
+            reply(std::move(response));
     });
 }
 
-// A cancellation is answered once no gateway holds an item of the job any more, so that no item
-// starts after the answer.
-void work_leader::answer_settled_cancels(instant now) {
+// Responds to a cancellation once no gateway holds an item of the job any more, so that no item
+// starts after the response.
+void work_leader::respond_to_settled_cancels(instant now) {
     std::vector<pending_cancel> still_pending;
     for (pending_cancel& cancel : pending_cancels_) {
         auto job = state_.jobs().find(cancel.job);
@@ -230,17 +230,17 @@
             still_pending.push_back(std::move(cancel));
             continue;
         }
-        schema::keeper_reply answer;
+        schema::keeper_reply response;
         if (job != state_.jobs().end())
-            state::fill_job_view(job->second, *answer.mutable_work()->mutable_job());
-        cancel.reply(std::move(answer));
+            state::fill_job_view(job->second, *response.mutable_work()->mutable_job());
+        cancel.reply(std::move(response));
     }
     pending_cancels_ = std::move(still_pending);
 }
 
 void work_leader::mark_holder_alive(const std::string& holder, instant now) {
     holders_last_seen_[holder] = now;
-    // Any other incarnation of the same gateway is taken for an older one, which is gone.
+    // Any other incarnation of the same gateway is presumed to be an earlier process, now dead.
     const std::string gateway_prefix = holder.substr(0, holder.rfind('/') + 1);
     for (const std::string& other : state_.holders()) {
         const bool same_gateway =
@@ -271,11 +271,11 @@
 void work_leader::tick(instant now, wall_time wall) {
     if (!leading_)
         return;
-    answer_settled_cancels(now);
+    respond_to_settled_cancels(now);
     release_lost_holders(now);
-    if (now < next_expiry_)
+    if (now < next_expiry_check_)
         return;
-    next_expiry_ = now + expiry_check_interval;
+    next_expiry_check_ = now + expiry_check_interval;
     for (auto lease = leased_at_.begin(); lease != leased_at_.end();)
         lease = state_.jobs().count(lease->first.first) == 0 ? leased_at_.erase(lease)
                                                              : std::next(lease);
