--- a/include/cassia/entry/control_task.h
+++ b/include/cassia/entry/control_task.h
@@ -51,8 +51,8 @@
     // These may be called from any task.
 
     /// `done` runs on `home`.
-    void ask(schema::keeper_request request, ask_options options, net::task& home,
-             keeper_client::reply_function done);
+    void send_request(schema::keeper_request request, request_options options, net::task& home,
+                      keeper_client::reply_callback done);
     void announced(schema::endpoint_record record);
     void report_online(std::vector<endpoint_use> uses, std::map<team_id, double> rates);
     void report_batch(std::vector<endpoint_use> uses);
--- a/include/cassia/entry/keeper_client.h
+++ b/include/cassia/entry/keeper_client.h
@@ -19,15 +19,15 @@
     peer_address address;
 };
 
-struct ask_options {
-    milliseconds patience{5000}; ///< longest wait for the outcome
-    bool resend = true;          ///< false: sent once, for requests that aren't idempotent
+struct request_options {
+    milliseconds timeout{5000}; ///< longest wait for the outcome
+    bool resend = true;         ///< false: sent once, for requests that aren't idempotent
 };
 
 class keeper_client {
 public:
     using send_function = std::function<void(const peer_address&, schema::envelope&)>;
-    using reply_function = std::function<void(schema::keeper_reply)>;
+    using reply_callback = std::function<void(schema::keeper_reply)>;
 
     keeper_client(std::vector<keeper_address> keepers, send_function send);
 
@@ -35,10 +35,11 @@
     void set_keepers(std::vector<keeper_address> keepers);
 
     /// `done` gets the reply, or one with the result `unavailable` when patience ends.
-    void ask(schema::keeper_request request, ask_options options, reply_function done, instant now);
-    void receive(schema::keeper_reply reply, instant now);
+    void send_request(schema::keeper_request request, request_options options, reply_callback done,
+                      instant now);
+    void handle_reply(schema::keeper_reply reply, instant now);
     /// A keeper said that it leads the group.
-    void leads(group_id group, const std::string& node);
+    void set_leader(group_id group, const std::string& node);
     void tick(instant now);
 
     std::size_t open_requests() const { return open_.size(); }
@@ -46,8 +47,8 @@
 private:
     struct open_request {
         schema::keeper_request request;
-        ask_options options;
-        reply_function done;
+        request_options options;
+        reply_callback done;
         instant give_up_at{};
         instant resend_at{};
         std::size_t next_keeper = 0;
--- a/include/cassia/gateway/fleet_link.h
+++ b/include/cassia/gateway/fleet_link.h
@@ -56,8 +56,8 @@
     void set_seeds(const std::vector<std::string>& seeds);
 
     /// Asks the leader of a group; see entry::keeper_client.
-    void ask(schema::keeper_request request, entry::ask_options options,
-             entry::keeper_client::reply_function done);
+    void ask(schema::keeper_request request, entry::request_options options,
+             entry::keeper_client::reply_callback done);
     /// Tells a keeper that leads the group, once, without an answer.
     void tell_held(schema::held_items held, group_id group);
     /// Tells other gateways what this one has under way, as far as that is due.
--- a/lib/entry/batch_api.cpp
+++ b/lib/entry/batch_api.cpp
@@ -79,8 +79,8 @@
     schema::keeper_request request;
     request.set_group(static_cast<std::uint32_t>(group.value()));
     *request.mutable_query() = question;
-    context_.control.ask(
-        std::move(request), ask_options(), context_.task,
+    context_.control.send_request(
+        std::move(request), request_options(), context_.task,
         [this, exchange, request_id, done](const schema::keeper_reply& reply) {
             if (reply.result() != schema::keeper_reply::done) {
                 context_.refuse(exchange,
--- a/lib/entry/batch_leases.cpp
+++ b/lib/entry/batch_leases.cpp
@@ -79,11 +79,11 @@
     leasing_.insert(group);
     // Never resent: a lease whose reply is lost goes back to the leader by what this entry says it
     // holds, while a resend would lease further items.
-    control_.ask(std::move(request), ask_options{lease_patience, false}, task_,
-                 [this, group, now](const schema::keeper_reply& reply) {
-                     leasing_.erase(group);
-                     on_leased(reply, now);
-                 });
+    control_.send_request(std::move(request), request_options{lease_patience, false}, task_,
+                          [this, group, now](const schema::keeper_reply& reply) {
+                              leasing_.erase(group);
+                              on_leased(reply, now);
+                          });
 }
 
 void batch_task::on_leased(const schema::keeper_reply& reply, instant asked_at) {
@@ -144,8 +144,8 @@
         schema::keeper_request request;
         request.set_group(static_cast<std::uint32_t>(one.first.value()));
         *request.mutable_held() = std::move(one.second);
-        control_.ask(std::move(request), ask_options{milliseconds(1), false}, task_,
-                     [](const schema::keeper_reply&) {});
+        control_.send_request(std::move(request), request_options{milliseconds(1), false}, task_,
+                              [](const schema::keeper_reply&) {});
     }
 }
 
@@ -214,17 +214,17 @@
         for (std::size_t i = 0; i < count; ++i)
             *ends->add_ends() = group.second[i].second;
         const group_id id = group.first;
-        control_.ask(std::move(request), ask_options{end_patience, true}, task_,
-                     [this, id, count](const schema::keeper_reply& reply) {
-                         flushing_[id] = false;
-                         if (reply.result() != schema::keeper_reply::done)
-                             return;
-                         auto& list = ends_[id];
-                         list.erase(list.begin(),
-                                    list.begin() + static_cast<std::ptrdiff_t>(count));
-                         metrics_.count("items_ended", count);
-                         flush_ends();
-                     });
+        control_.send_request(std::move(request), request_options{end_patience, true}, task_,
+                              [this, id, count](const schema::keeper_reply& reply) {
+                                  flushing_[id] = false;
+                                  if (reply.result() != schema::keeper_reply::done)
+                                      return;
+                                  auto& list = ends_[id];
+                                  list.erase(list.begin(),
+                                             list.begin() + static_cast<std::ptrdiff_t>(count));
+                                  metrics_.count("items_ended", count);
+                                  flush_ends();
+                              });
     }
 }
 
--- a/lib/entry/batch_submission.cpp
+++ b/lib/entry/batch_submission.cpp
@@ -214,21 +214,21 @@
     schema::keeper_request request;
     request.set_group(static_cast<std::uint32_t>(group.value()));
     *request.mutable_work() = command;
-    ask_options options;
-    options.patience = milliseconds(10000);
-    context_.control.ask(std::move(request), options, context_.task,
-                         [this, exchange, request_id, done](const schema::keeper_reply& reply) {
-                             if (reply.result() == schema::keeper_reply::done) {
-                                 done(reply.work());
-                                 return;
-                             }
-                             context_.refuse(
-                                 exchange,
-                                 {refusal_code::no_quorum,
-                                  "the durable state can't be reached; a resend is the same job",
-                                  run_state::maybe, come_back_soon},
-                                 request_id);
-                         });
+    request_options options;
+    options.timeout = milliseconds(10000);
+    context_.control.send_request(
+        std::move(request), options, context_.task,
+        [this, exchange, request_id, done](const schema::keeper_reply& reply) {
+            if (reply.result() == schema::keeper_reply::done) {
+                done(reply.work());
+                return;
+            }
+            context_.refuse(exchange,
+                            {refusal_code::no_quorum,
+                             "the durable state can't be reached; a resend is the same job",
+                             run_state::maybe, come_back_soon},
+                            request_id);
+        });
 }
 
 void batch_api::send_begin(const submission_pointer& one) {
--- a/lib/entry/control_task.cpp
+++ b/lib/entry/control_task.cpp
@@ -60,10 +60,10 @@
     task_.stop();
 }
 
-void control_task::ask(schema::keeper_request request, ask_options options, net::task& home,
-                       keeper_client::reply_function done) {
+void control_task::send_request(schema::keeper_request request, request_options options,
+                                net::task& home, keeper_client::reply_callback done) {
     task_.post([this, request = std::move(request), options, &home, done = std::move(done)] {
-        keepers_.ask(
+        keepers_.send_request(
             request, options,
             [&home, done](schema::keeper_reply reply) {
                 home.post([done, reply = std::move(reply)] { done(reply); });
@@ -153,7 +153,7 @@
 void control_task::on_message(schema::envelope& message) {
     switch (message.body_case()) {
     case schema::envelope::kReply:
-        keepers_.receive(std::move(*message.mutable_reply()), monotonic_now());
+        keepers_.handle_reply(std::move(*message.mutable_reply()), monotonic_now());
         break;
     case schema::envelope::kBeacon:
         on_beacon(message.beacon());
@@ -178,13 +178,13 @@
         freshness_.saw(beacon.beacon_term(), beacon.beacon(),
                        std::chrono::duration_cast<milliseconds>(age), now);
     for (const std::uint32_t group : beacon.leads()) {
-        keepers_.leads(group_id(group), beacon.keeper());
+        keepers_.set_leader(group_id(group), beacon.keeper());
         instant& contact = leader_contacts_[group_id(group)];
         contact = std::max(contact, from_us(beacon.sent_at_us()));
         keeper_clocks_[group_id(group)] = beacon.keeper_clock_us();
     }
     if (beacon.leads_control())
-        keepers_.leads(group_id(0), beacon.keeper());
+        keepers_.set_leader(group_id(0), beacon.keeper());
     for (const schema::entry_hello& entry : beacon.entries())
         entries_.saw(entry, milliseconds(entry.age_ms()), now);
     if (beacon.has_config())
--- a/lib/entry/keeper_client.cpp
+++ b/lib/entry/keeper_client.cpp
@@ -17,13 +17,13 @@
     keepers_ = std::move(keepers);
 }
 
-void keeper_client::ask(schema::keeper_request request, ask_options options, reply_function done,
-                        instant now) {
+void keeper_client::send_request(schema::keeper_request request, request_options options,
+                                 reply_callback done, instant now) {
     open_request one;
     one.request = std::move(request);
     one.options = options;
     one.done = std::move(done);
-    one.give_up_at = now + options.patience;
+    one.give_up_at = now + options.timeout;
     one.next_keeper = last_id_;
     send(one, now);
     open_[last_id_] = std::move(one);
@@ -52,13 +52,13 @@
     send_(target(one).address, envelope);
 }
 
-void keeper_client::receive(schema::keeper_reply reply, instant now) {
+void keeper_client::handle_reply(schema::keeper_reply reply, instant now) {
     auto found = open_.find(reply.id());
     if (found == open_.end())
         return;
     const group_id group(found->second.request.group());
     if (reply.result() == schema::keeper_reply::done || !found->second.options.resend) {
-        reply_function done = std::move(found->second.done);
+        reply_callback done = std::move(found->second.done);
         open_.erase(found);
         done(std::move(reply));
         return;
@@ -70,7 +70,7 @@
     found->second.resend_at = now + pause_after_refusal;
 }
 
-void keeper_client::leads(group_id group, const std::string& node) {
+void keeper_client::set_leader(group_id group, const std::string& node) {
     leaders_[group] = node;
 }
 
--- a/lib/entry/online_answers.cpp
+++ b/lib/entry/online_answers.cpp
@@ -91,25 +91,26 @@
     answer->set_content_type(one.head.content_type);
     answer->set_body(one.answer);
     const exchange_id exchange = one.exchange;
-    context_.control.ask(std::move(request), ask_options(), context_.task,
-                         [this, exchange](const schema::keeper_reply& reply) {
-                             call* kept = find(exchange);
-                             if (kept == nullptr)
-                                 return;
-                             // The answer is real even if it couldn't be stored; the key then
-                             // ends as unknown, so the request still never runs twice.
-                             if (reply.result() != schema::keeper_reply::done)
-                                 log_warning("answer_not_stored").with("request", kept->request_id);
-                             deliver(*kept);
-                         });
+    context_.control.send_request(
+        std::move(request), request_options(), context_.task,
+        [this, exchange](const schema::keeper_reply& reply) {
+            call* kept = find(exchange);
+            if (kept == nullptr)
+                return;
+            // The answer is real even if it couldn't be stored; the key then
+            // ends as unknown, so the request still never runs twice.
+            if (reply.result() != schema::keeper_reply::done)
+                log_warning("answer_not_stored").with("request", kept->request_id);
+            deliver(*kept);
+        });
 }
 
 void online_calls::release_key(const call& one, bool outcome_unknown) {
     schema::keeper_request request = finish_request(one);
     request.mutable_work()->mutable_finish()->set_release(!outcome_unknown);
     request.mutable_work()->mutable_finish()->set_outcome_unknown(outcome_unknown);
-    context_.control.ask(std::move(request), ask_options(), context_.task,
-                         [](const schema::keeper_reply&) {});
+    context_.control.send_request(std::move(request), request_options(), context_.task,
+                                  [](const schema::keeper_reply&) {});
 }
 
 void online_calls::explain(decision_kind kind, const call& one, const std::string& object,
--- a/lib/entry/online_arrival.cpp
+++ b/lib/entry/online_arrival.cpp
@@ -200,8 +200,8 @@
     claimed->set_at(to_unix_ms(wall_now()));
     claimed->set_retention_ms(one.from.plan->retention_ms);
     const exchange_id exchange = one.exchange;
-    context_.control.ask(
-        std::move(request), ask_options(), context_.task,
+    context_.control.send_request(
+        std::move(request), request_options(), context_.task,
         [this, exchange](const schema::keeper_reply& reply) { on_claimed(exchange, reply); });
 }
 
--- a/lib/entry/operator_api.cpp
+++ b/lib/entry/operator_api.cpp
@@ -96,10 +96,10 @@
                      {{"result", "invalid"}, {"problems", problems_json(checked.error())}});
         return;
     }
-    schema::keeper_request ask;
-    *ask.mutable_control()->mutable_change() = change;
-    context_.control.ask(
-        std::move(ask), ask_options{milliseconds(10000), true}, context_.task,
+    schema::keeper_request command_request;
+    *command_request.mutable_control()->mutable_change() = change;
+    context_.control.send_request(
+        std::move(command_request), request_options{milliseconds(10000), true}, context_.task,
         [this, exchange, request_id, id = change.change_id()](const schema::keeper_reply& reply) {
             if (reply.result() != schema::keeper_reply::done) {
                 context_.refuse(exchange,
@@ -124,10 +124,10 @@
 }
 
 void operator_api::history(exchange_id exchange, const std::string& request_id) {
-    schema::keeper_request ask;
-    ask.set_history(true);
-    context_.control.ask(
-        std::move(ask), ask_options(), context_.task,
+    schema::keeper_request history_request;
+    history_request.set_history(true);
+    context_.control.send_request(
+        std::move(history_request), request_options(), context_.task,
         [this, exchange, request_id](const schema::keeper_reply& reply) {
             if (reply.result() != schema::keeper_reply::done) {
                 context_.refuse(exchange,
--- a/lib/gateway/fleet_link.cpp
+++ b/lib/gateway/fleet_link.cpp
@@ -90,9 +90,9 @@
     say_hello(audience::all_keepers);
 }
 
-void fleet_link::ask(schema::keeper_request request, entry::ask_options options,
-                     entry::keeper_client::reply_function done) {
-    keeper_client_.ask(std::move(request), options, std::move(done), monotonic_now());
+void fleet_link::ask(schema::keeper_request request, entry::request_options options,
+                     entry::keeper_client::reply_callback done) {
+    keeper_client_.send_request(std::move(request), options, std::move(done), monotonic_now());
 }
 
 void fleet_link::tell_held(schema::held_items held, group_id group) {
@@ -164,7 +164,7 @@
         on_beacon(message.beacon());
         break;
     case schema::envelope::kReply:
-        keeper_client_.receive(message.reply(), monotonic_now());
+        keeper_client_.handle_reply(message.reply(), monotonic_now());
         break;
     case schema::envelope::kStale:
         hooks_.on_stale(message.stale());
@@ -191,7 +191,7 @@
         if (leader != from)
             log_info("leader_known").with("group", group).with("keeper", from.str());
         leader = from;
-        keeper_client_.leads(group_id(group), from.str());
+        keeper_client_.set_leader(group_id(group), from.str());
     }
     if (beacon.directory_epoch() != 0)
         learn_control(beacon, now);
--- a/lib/gateway/job_service.cpp
+++ b/lib/gateway/job_service.cpp
@@ -55,8 +55,8 @@
     }
     const group_id group = state::group_of_job(job, work_groups_);
     request.set_group(static_cast<std::uint32_t>(group.value()));
-    entry::ask_options options;
-    options.patience = patience;
+    entry::request_options options;
+    options.timeout = patience;
     fleet_.ask(std::move(request), options,
                [done = std::move(done)](const schema::keeper_reply& reply) {
                    done(outcome_of(reply), reply.work());
--- a/lib/gateway/service.cpp
+++ b/lib/gateway/service.cpp
@@ -277,8 +277,8 @@
     schema::lease_want* want = request.mutable_lease()->add_wants();
     want->set_service(route);
     want->set_limit(limit);
-    entry::ask_options options;
-    options.patience = lease_patience;
+    entry::request_options options;
+    options.timeout = lease_patience;
     // Sent once: the reply of a lost first question would come beside that of the second.
     options.resend = false;
     fleet_->ask(std::move(request), options, [done](const schema::keeper_reply& reply) {
@@ -296,8 +296,8 @@
     // Durable only as a whole; ends that are reported twice count once.
     std::shared_ptr<std::size_t> open = std::make_shared<std::size_t>(by_group.size());
     std::shared_ptr<bool> all = std::make_shared<bool>(true);
-    entry::ask_options options;
-    options.patience = report_patience;
+    entry::request_options options;
+    options.timeout = report_patience;
     for (std::pair<const group_id, schema::items_end>& part : by_group) {
         part.second.set_holder(fleet_->holder());
         part.second.set_at(to_unix_ms(wall_now()));
--- a/unittests/entry/request_text_test.cpp
+++ b/unittests/entry/request_text_test.cpp
@@ -78,11 +78,11 @@
                          });
     int answers = 0;
     schema::keeper_reply last;
-    client.leads(group_id(1), "k1");
+    client.set_leader(group_id(1), "k1");
     schema::keeper_request request;
     request.set_group(1);
-    client.ask(
-        request, ask_options(),
+    client.send_request(
+        request, request_options(),
         [&](const schema::keeper_reply& reply) {
             ++answers;
             last = reply;
@@ -93,8 +93,8 @@
     moved.set_id(sent.back().request.id());
     moved.set_result(schema::keeper_reply::not_leader);
     moved.set_leader("k2");
-    client.receive(moved, start);
-    client.leads(group_id(1), "k2");
+    client.handle_reply(moved, start);
+    client.set_leader(group_id(1), "k2");
     client.tick(start + milliseconds(100));
     const std::uint64_t first_id = sent.front().request.id();
     CHECK(sent.back().request.id() != first_id);
@@ -102,10 +102,10 @@
     REQUIRE(sent.size() == 3);
     schema::keeper_reply done;
     done.set_id(first_id);
-    client.receive(done, start + milliseconds(950));
+    client.handle_reply(done, start + milliseconds(950));
     CHECK(answers == 0);
     done.set_id(sent.back().request.id());
-    client.receive(done, start + milliseconds(950));
+    client.handle_reply(done, start + milliseconds(950));
     CHECK(answers == 1);
     CHECK(last.result() == schema::keeper_reply::done);
     client.tick(start + milliseconds(9000));
@@ -116,8 +116,8 @@
     keeper_client client({{"k1", peer_address("1")}},
                          [](const peer_address&, schema::envelope&) {});
     schema::keeper_reply last;
-    client.ask(
-        schema::keeper_request(), ask_options{milliseconds(1000), true},
+    client.send_request(
+        schema::keeper_request(), request_options{milliseconds(1000), true},
         [&last](const schema::keeper_reply& reply) { last = reply; }, start);
     client.tick(start + milliseconds(1000));
     CHECK(last.result() == schema::keeper_reply::unavailable);
