--- a/include/cassia/entry/request_text.h
+++ b/include/cassia/entry/request_text.h
@@ -14,11 +14,11 @@
 namespace cassia::entry {
 
 /// The JSON value, or what is wrong with the text. Nesting is bounded.
-struct json_text {
+struct json_parse_result {
     std::optional<boost::json::value> value;
-    std::string problem;
+    std::string error;
 };
-json_text parse_json(std::string_view text);
+json_parse_result parse_json(std::string_view text);
 
 /// JSON without regard to member order and white space.
 std::string canonical(const boost::json::value& value);
--- a/lib/ctl/client.cpp
+++ b/lib/ctl/client.cpp
@@ -14,7 +14,7 @@
 } // namespace
 
 boost::json::value answer::json() const {
-    entry::json_text parsed = entry::parse_json(text);
+    entry::json_parse_result parsed = entry::parse_json(text);
     return parsed.value ? std::move(*parsed.value) : boost::json::value();
 }
 
--- a/lib/entry/announce_api.cpp
+++ b/lib/entry/announce_api.cpp
@@ -146,7 +146,7 @@
                         request_id);
         return;
     }
-    const json_text parsed = parse_json(request.body);
+    const json_parse_result parsed = parse_json(request.body);
     if (request.method != "POST" || !parsed.value || !parsed.value->is_object()) {
         context_.refuse(exchange, {refusal_code::bad_request, "expected a JSON announcement"},
                         request_id);
--- a/lib/entry/batch_api.cpp
+++ b/lib/entry/batch_api.cpp
@@ -59,7 +59,7 @@
     out["attempts"] = item.attempts();
     if (item.http_status() == 0)
         return out;
-    const json_text body = parse_json(item.body());
+    const json_parse_result body = parse_json(item.body());
     out["response"] = {{"status_code", item.http_status()},
                        {"body", body.value ? *body.value : boost::json::value(item.body())}};
     return out;
--- a/lib/entry/batch_items.cpp
+++ b/lib/entry/batch_items.cpp
@@ -35,7 +35,7 @@
 
 static policy::service_demand demand_of(const schema::item_body& body, const service_id& service) {
     policy::service_demand demand{service, "", ""};
-    const json_text parsed = parse_json(body.body());
+    const json_parse_result parsed = parse_json(body.body());
     if (!parsed.value || !parsed.value->is_object())
         return demand;
     const boost::json::object& object = parsed.value->as_object();
@@ -92,7 +92,7 @@
 std::string batch_task::upstream_body(const item& one) const {
     if (!one.engine)
         return one.lease.item().body();
-    const json_text parsed = parse_json(one.lease.item().body());
+    const json_parse_result parsed = parse_json(one.lease.item().body());
     boost::json::object body = parsed.value->as_object();
     body["stream"] = true;
     if (!one.tokens.empty())
--- a/lib/entry/batch_submission.cpp
+++ b/lib/entry/batch_submission.cpp
@@ -62,9 +62,9 @@
 
 static read_item parse_line(std::string_view line, const caller& from) {
     read_item out;
-    const json_text parsed = parse_json(line);
+    const json_parse_result parsed = parse_json(line);
     if (!parsed.value || !parsed.value->is_object()) {
-        out.problem = parsed.value ? "expected an object" : parsed.problem;
+        out.problem = parsed.value ? "expected an object" : parsed.error;
         return out;
     }
     const boost::json::object& object = parsed.value->as_object();
--- a/lib/entry/online_arrival.cpp
+++ b/lib/entry/online_arrival.cpp
@@ -73,9 +73,9 @@
         refuse_early(one, {refusal_code::bad_method, "expected POST"});
         return false;
     }
-    json_text parsed = parse_json(one.request.body);
+    json_parse_result parsed = parse_json(one.request.body);
     if (!parsed.value || !parsed.value->is_object()) {
-        const std::string what = parsed.value ? "expected an object" : parsed.problem;
+        const std::string what = parsed.value ? "expected an object" : parsed.error;
         refuse_early(one, {refusal_code::bad_request, "body is no JSON request: " + what});
         return false;
     }
--- a/lib/entry/operator_api.cpp
+++ b/lib/entry/operator_api.cpp
@@ -64,7 +64,7 @@
 
 void operator_api::apply(exchange_id exchange, const net::http_request& request,
                          const std::string& request_id) {
-    const json_text parsed = parse_json(request.body);
+    const json_parse_result parsed = parse_json(request.body);
     const boost::json::object* body =
         parsed.value && parsed.value->is_object() ? &parsed.value->as_object() : nullptr;
     schema::change_command change;
--- a/lib/entry/request_text.cpp
+++ b/lib/entry/request_text.cpp
@@ -12,7 +12,7 @@
 constexpr std::size_t deepest_nesting = 64;
 } // namespace
 
-json_text parse_json(std::string_view text) {
+json_parse_result parse_json(std::string_view text) {
     boost::json::parse_options options;
     options.max_depth = deepest_nesting;
     boost::json::error_code problem;
@@ -59,7 +59,7 @@
 }
 
 std::string canonical_body(std::string_view body) {
-    const json_text parsed = parse_json(body);
+    const json_parse_result parsed = parse_json(body);
     return parsed.value ? canonical(*parsed.value) : std::string(body);
 }
 
@@ -105,7 +105,7 @@
     std::string finish_reason = "stop";
     boost::json::object body;
     for (const std::string& data : events) {
-        const json_text event = parse_json(data);
+        const json_parse_result event = parse_json(data);
         if (!event.value || !event.value->is_object())
             continue;
         const boost::json::object& object = event.value->as_object();
--- a/lib/load/batch_phase.cpp
+++ b/lib/load/batch_phase.cpp
@@ -62,7 +62,7 @@
     started_ = monotonic_now();
     result_.items = settings_.batch_items();
     call("POST", "/v1/batches", body(), [this](int status, const std::string& text) {
-        const entry::json_text parsed = entry::parse_json(text);
+        const entry::json_parse_result parsed = entry::parse_json(text);
         if (status != accepted_status || !parsed.value) {
             finish("submission answered " + std::to_string(status) + ": " + text);
             return;
@@ -75,7 +75,7 @@
 void batch_phase::poll() {
     call("GET", "/v1/batches/" + result_.job, "", [this](int status, const std::string& text) {
         const microseconds passed = monotonic_now() - started_;
-        const entry::json_text parsed = entry::parse_json(text);
+        const entry::json_parse_result parsed = entry::parse_json(text);
         if (status == 200 && parsed.value)
             result_.status = std::string(parsed.value->at("status").as_string());
         const bool over = result_.status == "completed" || result_.status == "failed" ||
@@ -113,7 +113,7 @@
     std::size_t at = 0;
     while (at < lines.size()) {
         const std::size_t end = std::min(lines.find('\n', at), lines.size());
-        const entry::json_text parsed =
+        const entry::json_parse_result parsed =
             entry::parse_json(std::string_view(lines).substr(at, end - at));
         at = end + 1;
         if (!parsed.value || parsed.value->at("status").as_string() != "completed")
--- a/lib/load/online_phase.cpp
+++ b/lib/load/online_phase.cpp
@@ -117,7 +117,7 @@
         result_.first_token.add(now - one.due);
     one.begun = true;
     one.last_token = now;
-    const entry::json_text parsed = entry::parse_json(event);
+    const entry::json_parse_result parsed = entry::parse_json(event);
     if (!parsed.value || !parsed.value->is_object())
         return;
     const boost::json::value* choices = parsed.value->as_object().if_contains("choices");
@@ -130,7 +130,7 @@
     calls_.erase(id);
     if (one.status >= first_failure_status) {
         ++result_.refused;
-        const entry::json_text parsed = entry::parse_json(one.buffer);
+        const entry::json_parse_result parsed = entry::parse_json(one.buffer);
         const bool coded = parsed.value && parsed.value->is_object() &&
                            parsed.value->as_object().contains("error");
         ++result_.refusals[coded ? std::string(parsed.value->at("error").at("code").as_string())
@@ -139,7 +139,7 @@
         return;
     }
     if (!settings_.stream()) {
-        const entry::json_text parsed = entry::parse_json(one.buffer);
+        const entry::json_parse_result parsed = entry::parse_json(one.buffer);
         if (parsed.value && parsed.value->is_object())
             one.text = std::string(parsed.value->at("choices").at(0).at("text").as_string());
         one.stream_done = true;
--- a/tools/cassia-load.cpp
+++ b/tools/cassia-load.cpp
@@ -48,7 +48,7 @@
             [&task, &found](const cassia::outcome<cassia::net::http_answer,
                                                   cassia::net::http_failure>& answer) {
                 if (answer && answer.value().head.status == 200) {
-                    const cassia::entry::json_text parsed =
+                    const cassia::entry::json_parse_result parsed =
                         cassia::entry::parse_json(answer.value().body);
                     for (const boost::json::value& one : parsed.value->at("entries").as_array())
                         found.emplace_back(one.at("address").as_string());
--- a/unittests/entry/request_text_test.cpp
+++ b/unittests/entry/request_text_test.cpp
@@ -52,8 +52,8 @@
         std::string text = valid;
         for (int n = 0; n < 3; ++n)
             text[random() % text.size()] = static_cast<char>(random());
-        const json_text parsed = parse_json(text);
-        CHECK(parsed.value.has_value() == parsed.problem.empty());
+        const json_parse_result parsed = parse_json(text);
+        CHECK(parsed.value.has_value() == parsed.error.empty());
     }
 }
 
