--- a/include/cassia/entry/announce_api.h
+++ b/include/cassia/entry/announce_api.h
@@ -1,7 +1,7 @@
 /// Endpoints' announcements: POST /v1/announce.
 #pragma once
 
-#include "cassia/entry/front_task.h"
+#include "cassia/entry/http_task.h"
 
 #include <string>
 
--- a/include/cassia/entry/batch_api.h
+++ b/include/cassia/entry/batch_api.h
@@ -1,7 +1,7 @@
 /// Batch jobs as callers see them: /v1/batches.
 #pragma once
 
-#include "cassia/entry/front_task.h"
+#include "cassia/entry/http_task.h"
 #include "cassia/schema/messages.pb.h"
 
 #include <map>
--- a/include/cassia/entry/batch_task.h
+++ b/include/cassia/entry/batch_task.h
@@ -4,10 +4,10 @@
 
 #include "cassia/base/metrics.h"
 #include "cassia/entry/control_task.h"
-#include "cassia/entry/crash_blame.h"
+#include "cassia/entry/crash_tracker.h"
 #include "cassia/entry/decision_log.h"
 #include "cassia/entry/fleet_view.h"
-#include "cassia/entry/front_task.h"
+#include "cassia/entry/http_task.h"
 #include "cassia/entry/request_text.h"
 #include "cassia/net/http_client.h"
 #include "cassia/net/task.h"
--- a/include/cassia/entry/online_calls.h
+++ b/include/cassia/entry/online_calls.h
@@ -2,8 +2,8 @@
 /// go on at another endpoint.
 #pragma once
 
-#include "cassia/entry/crash_blame.h"
-#include "cassia/entry/front_task.h"
+#include "cassia/entry/crash_tracker.h"
+#include "cassia/entry/http_task.h"
 #include "cassia/entry/request_text.h"
 #include "cassia/policy/admission.h"
 #include "cassia/policy/batch_slots.h"
--- a/include/cassia/entry/operator_api.h
+++ b/include/cassia/entry/operator_api.h
@@ -1,7 +1,7 @@
 /// What operators reach through any entry: /v1/operator/.
 #pragma once
 
-#include "cassia/entry/front_task.h"
+#include "cassia/entry/http_task.h"
 
 #include <functional>
 #include <string>
--- a/include/cassia/entry/service.h
+++ b/include/cassia/entry/service.h
@@ -3,7 +3,7 @@
 
 #include "cassia/entry/batch_task.h"
 #include "cassia/entry/control_task.h"
-#include "cassia/entry/front_task.h"
+#include "cassia/entry/http_task.h"
 #include "cassia/schema/settings.pb.h"
 
 #include <string>
--- a/lib/entry/crash_blame.cpp
+++ b/lib/entry/crash_tracker.cpp
@@ -1,4 +1,4 @@
-#include "cassia/entry/crash_blame.h"
+#include "cassia/entry/crash_tracker.h"
 
 #include <utility>
 
--- a/lib/entry/front_task.cpp
+++ b/lib/entry/http_task.cpp
@@ -1,4 +1,4 @@
-#include "cassia/entry/front_task.h"
+#include "cassia/entry/http_task.h"
 
 #include "cassia/base/digest.h"
 #include "cassia/base/log.h"
