--- a/include/cassia/entry/batch_task.h
+++ b/include/cassia/entry/batch_task.h
@@ -41,7 +41,7 @@
     void stop();
 
     // These may be called from any task.
-    void set_view(view_pointer view);
+    void set_view(fleet_view_ptr view);
     void set_offers(batch_offers offers);
     /// Online calls want slots of an endpoint: batch items there stop at once.
     void yield(const endpoint_id& endpoint, std::uint32_t slots);
@@ -118,8 +118,8 @@
     net::task task_;
     net::http_client client_;
     metrics metrics_;
-    crash_blame blame_;
-    view_pointer view_;
+    crash_tracker crash_tracker_;
+    fleet_view_ptr view_;
     std::map<endpoint_id, seat> seats_;
     std::map<item_id, item> items_;
     std::map<service_id, std::deque<item_id>> ready_;
--- a/include/cassia/entry/control_task.h
+++ b/include/cassia/entry/control_task.h
@@ -1,4 +1,5 @@
-/// The entry's conversations with keepers and other entries, and what it knows of the fleet.
+/// The task that exchanges messages with keepers and other entries and maintains this entry's
+/// knowledge of the cluster.
 #pragma once
 
 #include "cassia/base/metrics.h"
@@ -20,7 +21,7 @@
 
 namespace cassia::entry {
 
-/// What another task has under way at one endpoint.
+/// The number of requests that a task has running at one endpoint.
 struct endpoint_use {
     endpoint_id endpoint;
     std::uint32_t online = 0;
@@ -28,61 +29,61 @@
     std::uint32_t suspects = 0;
 };
 
-struct control_hooks {
-    /// All of them run on the control task.
-    std::function<void(view_pointer)> on_view;
+struct control_task_hooks {
+    /// All hooks run on the control task.
+    std::function<void(fleet_view_ptr)> on_view_changed;
     std::function<void(const endpoint_id&, std::uint32_t slots)> on_yield;
-    std::function<void(const std::vector<job_id>&)> on_cancelled;
+    std::function<void(const std::vector<job_id>&)> on_jobs_cancelled;
 };
 
-/// An entry that has said nothing for this long is taken for gone.
-inline constexpr milliseconds others_silent_after(3000);
+/// An entry is considered dead after this long without a message.
+inline constexpr milliseconds peer_timeout(3000);
 
 class control_task {
 public:
-    control_task(const schema::entry_settings& settings, control_hooks hooks);
+    control_task(const schema::entry_settings& settings, control_task_hooks hooks);
     ~control_task();
 
-    /// Opens the socket. \returns an empty string or what went wrong.
+    /// Opens the socket. \returns an empty string or an error message.
     std::string open();
     void start();
     void stop();
 
-    // These may be called from any task.
+    // The following functions may be called from any task.
 
-    /// `done` runs on `home`.
-    void send_request(schema::keeper_request request, request_options options, net::task& home,
-                      keeper_client::reply_callback done);
-    void announced(schema::endpoint_record record);
+    /// Sends a request to the keepers. `done` runs on `reply_task`.
+    void send_request(schema::keeper_request request, request_options options,
+                      net::task& reply_task, keeper_client::reply_callback done);
+    void record_announcement(schema::endpoint_record record);
     void report_online(std::vector<endpoint_use> uses, std::map<team_id, double> rates);
     void report_batch(std::vector<endpoint_use> uses);
-    void add_strike(const policy::strike& one);
-    /// Asks the steward of an endpoint to free slots that its batch items hold.
+    void add_strike(const policy::strike& strike);
+    /// Asks the steward of an endpoint to free this many slots by stopping batch items.
     void request_yield(const endpoint_id& endpoint, std::uint32_t slots);
-    /// Leaves the list of entries at once.
+    /// Removes this entry from the list of entries immediately.
     void set_draining();
-    /// Hands the task's part of the state dump, as JSON, to `done` on `home`.
-    void dump(net::task& home, std::function<void(std::string)> done);
+    /// Passes this task's part of the state dump, as JSON, to `done` on `reply_task`.
+    void dump(net::task& reply_task, std::function<void(std::string)> done);
 
-    /// This process's name and incarnation, as leases name their holder.
+    /// This process's name and incarnation, which identify it as the holder of leases.
     const std::string& holder() const { return holder_; }
 
 private:
     void on_message(schema::envelope& message);
     void on_beacon(const schema::keeper_beacon& beacon);
-    void on_gossip(const schema::gossip& rumor);
+    void on_gossip(const schema::gossip& gossip);
     void on_yield(const schema::yield_request& yield);
-    void take_config(const schema::change_record& config);
+    void apply_config(const schema::change_record& config);
     schema::entry_hello make_hello() const;
     void send_hellos();
     void send_gossip();
     void publish_view();
     std::vector<policy::endpoint_facts> endpoint_facts(instant now) const;
     void tick();
-    std::string dump_text() const;
+    std::string dump_json() const;
 
     schema::entry_settings settings_;
-    control_hooks hooks_;
+    control_task_hooks hooks_;
     std::uint64_t incarnation_;
     std::string holder_;
     net::task task_;
@@ -94,17 +95,17 @@
     policy::strike_list strikes_;
     schema::change_record config_;
     std::shared_ptr<const settings::catalog> catalog_;
-    std::map<group_id, instant> leader_contacts_;
-    std::map<group_id, std::uint64_t> keeper_clocks_;
+    std::map<group_id, instant> leader_last_heard_;
+    std::map<group_id, std::uint64_t> leader_clocks_;
 
     std::vector<endpoint_use> online_uses_;
     std::vector<endpoint_use> batch_uses_;
     std::map<team_id, double> rates_;
-    struct other_entry {
-        schema::gossip rumor;
-        instant heard{};
+    struct peer_entry {
+        schema::gossip last_gossip;
+        instant last_heard{};
     };
-    std::map<entry_id, other_entry> others_;
+    std::map<entry_id, peer_entry> peers_;
     std::uint64_t gossip_sequence_ = 0;
     bool draining_ = false;
 };
--- a/include/cassia/entry/crash_tracker.h
+++ b/include/cassia/entry/crash_tracker.h
@@ -1,5 +1,5 @@
-/// Finds out whether an endpoint died, and strikes the requests that its death is blamed on. One
-/// for each task that runs requests.
+/// Detects endpoint crashes and records a strike against each request that may have caused one.
+/// Every task that sends requests to endpoints has its own tracker.
 #pragma once
 
 #include "cassia/entry/control_task.h"
@@ -13,37 +13,41 @@
 
 namespace cassia::entry {
 
-class crash_blame {
+class crash_tracker {
 public:
-    /// \param client makes the probes; it belongs to the same task.
-    /// \param on_strike is told of each strike that this task makes; may be empty.
-    crash_blame(net::task& task, net::http_client& client, control_task& control,
-                std::function<void(const policy::strike&)> on_strike);
-
-    /// Asks whether the endpoint is dead. A lost connection may mean that it died, perhaps of the
-    /// very request, or only that the connection broke; a dead endpoint refuses a second one.
+    /// \param client sends the probes; it must belong to the same task.
+    /// \param on_strike is called for each strike that this task records; may be empty.
+    crash_tracker(net::task& task, net::http_client& client, control_task& control,
+                  std::function<void(const policy::strike&)> on_strike);
+
+    /// Checks whether the endpoint is dead. A lost connection may mean that the endpoint crashed,
+    /// possibly because of that very request, or only that the connection broke. A dead endpoint
+    /// refuses a new connection.
     void probe(const http_address& address, std::function<void(bool dead)> done);
 
-    /// The endpoint died with these requests under way. Told several times of one death, it counts
-    /// the first. \returns whether this was the first.
-    bool died(const endpoint_id& endpoint, const std::vector<policy::running_request>& running);
+    /// Records that the endpoint crashed while these requests were running. Several reports of the
+    /// same crash count once. \returns whether this was the first report.
+    bool record_crash(const endpoint_id& endpoint,
+                      const std::vector<policy::running_request>& running);
 
-    /// Strikes that other tasks and entries made.
-    void learn(const std::vector<policy::strike>& strikes);
+    /// Adds strikes recorded by other tasks and entries.
+    void merge_strikes(const std::vector<policy::strike>& strikes);
 
     bool is_suspect(const fingerprint& request) const;
     bool is_quarantined(const fingerprint& request) const;
 
 private:
-    void probe_again(const http_address& address, std::function<void(bool dead)> done, int probes);
-    void strike(const std::vector<fingerprint>& requests, const endpoint_id& endpoint, instant at);
+    void send_probe(const http_address& address, std::function<void(bool dead)> done,
+                    int probes_left);
+    void add_strikes(const std::vector<fingerprint>& requests, const endpoint_id& endpoint,
+                     instant at);
 
     net::task& task_;
     net::http_client& client_;
     control_task& control_;
     std::function<void(const policy::strike&)> on_strike_;
     policy::strike_list strikes_;
-    std::map<endpoint_id, instant> deaths_; ///< deaths that have been blamed already
+    std::map<endpoint_id, instant> last_crashes_; ///< crashes already attributed to requests
 };
 
 } // namespace cassia::entry
--- a/include/cassia/entry/decision_log.h
+++ b/include/cassia/entry/decision_log.h
@@ -1,4 +1,5 @@
-/// Why the entry did what it did: typed events in a bounded ring, and in the log.
+/// Records the decisions that an entry makes, with their reasons, in a bounded in-memory ring and
+/// in the debug log.
 #pragma once
 
 #include "cassia/base/clock.h"
@@ -12,24 +13,24 @@
 
 enum class decision_kind {
     routed,      ///< sent to an endpoint
-    queued,      ///< waits for a slot
-    refused,     ///< answered without an endpoint
-    retried,     ///< sent again after a failure
-    resumed,     ///< a stream went on at another endpoint
-    ended,       ///< answered in full
-    yielded,     ///< batch items gave their slots to online calls
-    struck,      ///< blamed for the death of an endpoint
-    ejected,     ///< an endpoint was left out
-    item_leased, ///< a batch item came to this entry
-    item_ended,
+    queued,      ///< waits for a free slot
+    refused,     ///< answered with an error
+    retried,     ///< sent again from the beginning after a failed attempt
+    resumed,     ///< a partly received stream is continued with a new attempt
+    ended,       ///< answered in full, or abandoned by the caller
+    yielded,     ///< batch items are asked to release slots for online calls, or did so
+    struck,      ///< recorded as a possible cause of an endpoint's crash
+    ejected,     ///< an endpoint was excluded from routing
+    item_leased, ///< batch items were leased to this entry
+    item_ended,  ///< a batch item failed or its outcome is unknown
 };
-const char* decision_name(decision_kind kind);
+const char* decision_kind_name(decision_kind kind);
 
 struct decision {
     wall_time at;
     decision_kind kind = decision_kind::routed;
-    std::string subject; ///< request, job, endpoint or change
-    std::string object;  ///< what it was decided about it: endpoint, code
+    std::string subject; ///< id of the request, job or endpoint that the decision concerns
+    std::string object;  ///< outcome: an endpoint, an error code or a request
     std::string reason;
 };
 
@@ -39,8 +40,8 @@
 
     void add(decision_kind kind, const std::string& subject, const std::string& object,
              const std::string& reason);
-    /// Decisions whose subject or object is the text, oldest first.
-    std::vector<decision> about(const std::string& text) const;
+    /// Decisions whose subject or object equals `id`, oldest first.
+    std::vector<decision> find(const std::string& id) const;
 
 private:
     std::size_t capacity_;
--- a/include/cassia/entry/fleet_view.h
+++ b/include/cassia/entry/fleet_view.h
@@ -1,5 +1,5 @@
-/// What an entry's tasks know of the fleet: a snapshot that the control task makes and the others
-/// read. Never changed once made.
+/// Immutable snapshot of what an entry knows of the cluster. The control task publishes it and the
+/// other tasks read it.
 #pragma once
 
 #include "cassia/base/clock.h"
@@ -18,25 +18,27 @@
 
 struct listed_entry {
     entry_id id;
-    std::string address; ///< for callers, IP:PORT
+    std::string address; ///< IP:PORT for callers
     zone_id zone;
 };
 
 struct fleet_view {
-    std::vector<policy::endpoint_facts> endpoints; ///< those that may get new work
-    std::vector<listed_entry> entries;             ///< those that take new requests
+    std::vector<policy::endpoint_facts> endpoints; ///< endpoints that may get new work
+    std::vector<listed_entry> entries;             ///< entries that accept new requests
     std::uint64_t entries_version = 0;
-    std::shared_ptr<const settings::catalog> catalog; ///< null before the first configuration
-    bool stale = true;
+    std::shared_ptr<const settings::catalog> catalog; ///< null until a configuration is received
+    bool stale = true; ///< no recent beacon of the control group: `catalog` may be out of date
     std::vector<policy::strike> strikes;
-    std::map<team_id, double> others_rates;          ///< requests a second through other entries
-    std::map<group_id, instant> leader_contacts;     ///< when each work group's leader last spoke
-    std::map<group_id, std::uint64_t> keeper_clocks; ///< that leader's own clock then, us
+    std::map<team_id, double> peer_rates; ///< requests per second through the other entries
+    /// For each work group, when its leader was last known to be alive.
+    std::map<group_id, instant> leader_last_heard;
+    /// The leader's own clock in its last beacon, in microseconds.
+    std::map<group_id, std::uint64_t> leader_clocks;
 };
 
-/// The endpoint among those that may get new work, or null.
+/// The endpoint with this id, or null if it may not get new work.
 const policy::endpoint_facts* find_endpoint(const fleet_view& view, const endpoint_id& id);
 
-using view_pointer = std::shared_ptr<const fleet_view>;
+using fleet_view_ptr = std::shared_ptr<const fleet_view>;
 
 } // namespace cassia::entry
--- a/include/cassia/entry/http_task.h
+++ b/include/cassia/entry/http_task.h
@@ -34,7 +34,7 @@
     metrics& counters;
     decision_log& decisions;
     net::http_server* server = nullptr;
-    view_pointer view;
+    fleet_view_ptr view;
     bool draining = false;
 
     /// Answers the exchange with a refusal.
@@ -74,7 +74,7 @@
     void run();
 
     // These may be called from any task.
-    void set_view(view_pointer view);
+    void set_view(fleet_view_ptr view);
     void set_batch_uses(std::vector<endpoint_use> uses);
     /// Keeps a decision of another task for the explanations.
     void note(decision one);
--- a/include/cassia/entry/online_calls.h
+++ b/include/cassia/entry/online_calls.h
@@ -141,7 +141,7 @@
     policy::router router_;
     policy::waiting_room waiting_;
     policy::retry_budget retries_;
-    crash_blame blame_;
+    crash_tracker crash_tracker_;
     std::map<team_id, policy::rate_limiter> rates_;
     std::map<endpoint_id, policy::batch_slots> slots_;
     std::map<endpoint_id, endpoint_use> batch_uses_;
--- a/lib/entry/announce_api.cpp
+++ b/lib/entry/announce_api.cpp
@@ -158,7 +158,7 @@
         context_.refuse(exchange, {refusal_code::bad_request, reader.problem()}, request_id);
         return;
     }
-    context_.control.announced(std::move(record));
+    context_.control.record_announcement(std::move(record));
     boost::json::array entries;
     for (const listed_entry& one : context_.view->entries)
         entries.push_back({{"address", one.address}, {"zone", one.zone.str()}, {"weight", 1}});
--- a/lib/entry/batch_items.cpp
+++ b/lib/entry/batch_items.cpp
@@ -29,8 +29,8 @@
 bool batch_task::may_start(const item& one, instant now) const {
     const job_id job(one.lease.job());
     const group_id group = state::group_of_job(job, settings_.cluster().work_groups());
-    auto contact = view_->leader_contacts.find(group);
-    return contact != view_->leader_contacts.end() && now - contact->second < leader_silence;
+    auto contact = view_->leader_last_heard.find(group);
+    return contact != view_->leader_last_heard.end() && now - contact->second < leader_silence;
 }
 
 static policy::service_demand demand_of(const schema::item_body& body, const service_id& service) {
@@ -67,7 +67,7 @@
                     continue;
                 }
                 item& candidate = one->second;
-                candidate.suspect = blame_.is_suspect(candidate.print);
+                candidate.suspect = crash_tracker_.is_suspect(candidate.print);
                 const bool other_suspect =
                     at.offer.suspect_running ||
                     std::any_of(at.running.begin(), at.running.end(),
@@ -234,7 +234,7 @@
         decide_after_failure(id, failed, true);
         return;
     }
-    blame_.probe(facts->address, [this, id, failed](bool dead) {
+    crash_tracker_.probe(facts->address, [this, id, failed](bool dead) {
         auto one = items_.find(id);
         if (one != items_.end() && one->second.running)
             decide_after_failure(id, failed, dead);
@@ -258,7 +258,7 @@
         if (one.second.running && one.second.endpoint == endpoint)
             running.push_back({one.second.print, one.second.has_output});
     }
-    blame_.died(endpoint, running);
+    crash_tracker_.record_crash(endpoint, running);
 }
 
 void batch_task::decide_after_failure(const item_id& id, const net::http_failure& failed,
@@ -278,7 +278,7 @@
     schema::item_end end;
     end.set_content_type("application/json");
     end.set_endpoint(one.endpoint.str());
-    if (blame_.is_quarantined(one.print)) {
+    if (crash_tracker_.is_quarantined(one.print)) {
         end.set_status(schema::failed);
         end.set_http_status(quarantined_status);
         end.set_body(R"({"error":{"code":"quarantined","message":"this item crashed endpoints"}})");
--- a/lib/entry/batch_leases.cpp
+++ b/lib/entry/batch_leases.cpp
@@ -119,7 +119,7 @@
 // What this entry holds, so that a leader takes back items whose lease reply got lost.
 void batch_task::tell_held() {
     std::map<group_id, schema::held_items> by_group;
-    for (const std::pair<const group_id, instant>& leader : view_->leader_contacts)
+    for (const std::pair<const group_id, instant>& leader : view_->leader_last_heard)
         by_group[leader.first].set_holder(control_.holder());
     const std::uint32_t groups = settings_.cluster().work_groups();
     const auto add = [&by_group, groups](const item_id& id) {
@@ -137,8 +137,8 @@
             add(end.first);
     }
     for (std::pair<const group_id, schema::held_items>& one : by_group) {
-        auto clock = view_->keeper_clocks.find(one.first);
-        if (clock == view_->keeper_clocks.end())
+        auto clock = view_->leader_clocks.find(one.first);
+        if (clock == view_->leader_clocks.end())
             continue;
         one.second.set_keeper_clock_us(clock->second);
         schema::keeper_request request;
--- a/lib/entry/control_task.cpp
+++ b/lib/entry/control_task.cpp
@@ -17,19 +17,19 @@
 } // namespace
 
 static std::vector<keeper_address> keeper_addresses(const schema::entry_settings& settings) {
-    std::vector<keeper_address> out;
+    std::vector<keeper_address> addresses;
     for (const schema::peer_settings& keeper : settings.cluster().keeper())
-        out.push_back({keeper.name(), peer_address(keeper.address())});
-    return out;
+        addresses.push_back({keeper.name(), peer_address(keeper.address())});
+    return addresses;
 }
 
-control_task::control_task(const schema::entry_settings& settings, control_hooks hooks)
+control_task::control_task(const schema::entry_settings& settings, control_task_hooks hooks)
     : settings_(settings), hooks_(std::move(hooks)), incarnation_(to_unix_ms(wall_now())),
       holder_(settings.name() + "/" + std::to_string(incarnation_)), task_("control"),
       keepers_(
           keeper_addresses(settings),
           [this](const peer_address& to, schema::envelope& message) { hub_->send(to, message); }),
-      directory_(membership::directory_settings()), entries_(others_silent_after),
+      directory_(membership::directory_settings()), entries_(peer_timeout),
       freshness_(milliseconds(settings.stale_after_ms())), strikes_(policy::strike_memory) {}
 
 control_task::~control_task() {
@@ -61,18 +61,18 @@
 }
 
 void control_task::send_request(schema::keeper_request request, request_options options,
-                                net::task& home, keeper_client::reply_callback done) {
-    task_.post([this, request = std::move(request), options, &home, done = std::move(done)] {
+                                net::task& reply_task, keeper_client::reply_callback done) {
+    task_.post([this, request = std::move(request), options, &reply_task, done = std::move(done)] {
         keepers_.send_request(
             request, options,
-            [&home, done](schema::keeper_reply reply) {
-                home.post([done, reply = std::move(reply)] { done(reply); });
+            [&reply_task, done](schema::keeper_reply reply) {
+                reply_task.post([done, reply = std::move(reply)] { done(reply); });
             },
             monotonic_now());
     });
 }
 
-void control_task::announced(schema::endpoint_record record) {
+void control_task::record_announcement(schema::endpoint_record record) {
     task_.post([this, record = std::move(record)] {
         const bool changed = directory_.announced(record, monotonic_now());
         if (!changed)
@@ -97,13 +97,13 @@
     task_.post([this, uses = std::move(uses)] { batch_uses_ = uses; });
 }
 
-void control_task::add_strike(const policy::strike& one) {
-    task_.post([this, one] {
-        if (!strikes_.add(one))
+void control_task::add_strike(const policy::strike& strike) {
+    task_.post([this, strike] {
+        if (!strikes_.add(strike))
             return;
         log_warning("request_struck")
-            .with("fingerprint", one.request.str())
-            .with("endpoint", one.endpoint.str());
+            .with("fingerprint", strike.request.str())
+            .with("endpoint", strike.endpoint.str());
         publish_view();
         send_gossip();
     });
@@ -114,23 +114,24 @@
         auto found = directory_.all().find(endpoint);
         if (found == directory_.all().end())
             return;
-        const std::vector<const schema::entry_hello*> alive = entries_.alive(monotonic_now());
+        const std::vector<const schema::entry_hello*> live_entries =
+            entries_.alive(monotonic_now());
         const entry_id steward =
-            membership::steward_of(endpoint, found->second.record.zone(), alive);
+            membership::steward_of(endpoint, found->second.record.zone(), live_entries);
         if (steward.str() == settings_.name()) {
             hooks_.on_yield(endpoint, slots);
             return;
         }
-        auto holder =
-            std::find_if(alive.begin(), alive.end(), [&steward](const schema::entry_hello* one) {
-                return one->entry() == steward.str();
-            });
-        if (holder == alive.end())
+        auto steward_hello = std::find_if(live_entries.begin(), live_entries.end(),
+                                          [&steward](const schema::entry_hello* entry) {
+                                              return entry->entry() == steward.str();
+                                          });
+        if (steward_hello == live_entries.end())
             return;
         schema::envelope envelope;
         envelope.mutable_yield()->set_endpoint(endpoint.str());
         envelope.mutable_yield()->set_slots(slots);
-        hub_->send(peer_address((*holder)->peer_address()), envelope);
+        hub_->send(peer_address((*steward_hello)->peer_address()), envelope);
     });
 }
 
@@ -144,9 +145,9 @@
     });
 }
 
-void control_task::dump(net::task& home, std::function<void(std::string)> done) {
-    task_.post([this, &home, done = std::move(done)] {
-        home.post([done, text = dump_text()] { done(text); });
+void control_task::dump(net::task& reply_task, std::function<void(std::string)> done) {
+    task_.post([this, &reply_task, done = std::move(done)] {
+        reply_task.post([done, text = dump_json()] { done(text); });
     });
 }
 
@@ -171,33 +172,34 @@
 
 void control_task::on_beacon(const schema::keeper_beacon& beacon) {
     const instant now = monotonic_now();
-    // The keeper echoes when the hello was sent, by this process's own clock. A process that was
-    // frozen finds old beacons in its sockets; counted as new they would make it trust its lists.
+    // The keeper echoes the time at which this entry sent its hello, by this process's own clock.
+    // A process that resumes after a freeze finds old beacons in its socket buffers; treating them
+    // as new would make it consider an outdated configuration current.
     const microseconds age = now - from_us(beacon.sent_at_us());
     if (beacon.leads_control())
         freshness_.saw(beacon.beacon_term(), beacon.beacon(),
                        std::chrono::duration_cast<milliseconds>(age), now);
     for (const std::uint32_t group : beacon.leads()) {
         keepers_.set_leader(group_id(group), beacon.keeper());
-        instant& contact = leader_contacts_[group_id(group)];
-        contact = std::max(contact, from_us(beacon.sent_at_us()));
-        keeper_clocks_[group_id(group)] = beacon.keeper_clock_us();
+        instant& last_heard = leader_last_heard_[group_id(group)];
+        last_heard = std::max(last_heard, from_us(beacon.sent_at_us()));
+        leader_clocks_[group_id(group)] = beacon.keeper_clock_us();
     }
     if (beacon.leads_control())
         keepers_.set_leader(group_id(0), beacon.keeper());
     for (const schema::entry_hello& entry : beacon.entries())
         entries_.saw(entry, milliseconds(entry.age_ms()), now);
     if (beacon.has_config())
-        take_config(beacon.config());
+        apply_config(beacon.config());
     std::vector<job_id> cancelled;
     for (const std::string& job : beacon.cancelled_jobs())
         cancelled.emplace_back(job);
     if (!cancelled.empty())
-        hooks_.on_cancelled(cancelled);
+        hooks_.on_jobs_cancelled(cancelled);
 }
 
-// Versions only grow: whatever reaches this process late or twice, it never goes back.
-void control_task::take_config(const schema::change_record& config) {
+// Versions only increase, so a late or duplicate message never restores an older configuration.
+void control_task::apply_config(const schema::change_record& config) {
     if (config.version() <= config_.version())
         return;
     settings::result<std::shared_ptr<const settings::catalog>> parsed = settings::catalog::parse(
@@ -208,7 +210,8 @@
     }
     config_ = config;
     catalog_ = parsed.value();
-    // Reading 24,000 plans takes 100 MB for a moment, which the allocator would keep for good.
+    // Parsing 24,000 plans temporarily takes 100 MB, which the allocator would otherwise never
+    // return to the system.
     malloc_trim(0);
     log_info("config_in_force")
         .with("version", config.version())
@@ -218,27 +221,28 @@
     send_gossip();
 }
 
-void control_task::on_gossip(const schema::gossip& rumor) {
+void control_task::on_gossip(const schema::gossip& gossip) {
     const instant now = monotonic_now();
-    other_entry& other = others_[entry_id(rumor.entry())];
-    const bool older = rumor.incarnation() < other.rumor.incarnation() ||
-                       (rumor.incarnation() == other.rumor.incarnation() &&
-                        rumor.sequence() <= other.rumor.sequence());
-    if (older)
+    peer_entry& peer = peers_[entry_id(gossip.entry())];
+    const bool outdated = gossip.incarnation() < peer.last_gossip.incarnation() ||
+                          (gossip.incarnation() == peer.last_gossip.incarnation() &&
+                           gossip.sequence() <= peer.last_gossip.sequence());
+    if (outdated)
         return;
-    other.rumor = rumor;
-    other.heard = now;
-    entries_.saw(rumor.self(), milliseconds(0), now);
+    peer.last_gossip = gossip;
+    peer.last_heard = now;
+    entries_.saw(gossip.self(), milliseconds(0), now);
     bool changed = false;
-    for (const schema::endpoint_record& record : rumor.endpoints())
+    for (const schema::endpoint_record& record : gossip.endpoints())
         changed = directory_.told(record, now) || changed;
-    for (const schema::strike_record& one : rumor.strikes())
-        changed = strikes_.add({fingerprint(one.fingerprint()), endpoint_id(one.endpoint()),
-                                now - milliseconds(one.age_ms())}) ||
+    for (const schema::strike_record& strike : gossip.strikes())
+        changed = strikes_.add({fingerprint(strike.fingerprint()), endpoint_id(strike.endpoint()),
+                                now - milliseconds(strike.age_ms())}) ||
                   changed;
-    freshness_.saw(rumor.beacon_term(), rumor.beacon(), milliseconds(rumor.beacon_age_ms()), now);
-    if (rumor.has_config())
-        take_config(rumor.config());
+    freshness_.saw(gossip.beacon_term(), gossip.beacon(), milliseconds(gossip.beacon_age_ms()),
+                   now);
+    if (gossip.has_config())
+        apply_config(gossip.config());
     if (changed)
         publish_view();
 }
@@ -273,44 +277,44 @@
 void control_task::send_gossip() {
     const instant now = monotonic_now();
     schema::envelope envelope;
-    schema::gossip* rumor = envelope.mutable_rumor();
-    rumor->set_entry(settings_.name());
-    rumor->set_incarnation(incarnation_);
-    rumor->set_sequence(++gossip_sequence_);
-    *rumor->mutable_self() = make_hello();
+    schema::gossip* gossip = envelope.mutable_rumor();
+    gossip->set_entry(settings_.name());
+    gossip->set_incarnation(incarnation_);
+    gossip->set_sequence(++gossip_sequence_);
+    *gossip->mutable_self() = make_hello();
     for (schema::endpoint_record& record : directory_.own_records(now))
-        *rumor->add_endpoints() = std::move(record);
-    for (const policy::strike& one : strikes_.all(now)) {
-        schema::strike_record* told = rumor->add_strikes();
-        told->set_fingerprint(one.request.str());
-        told->set_endpoint(one.endpoint.str());
-        told->set_age_ms(static_cast<std::uint32_t>((now - one.at).count() / 1000));
+        *gossip->add_endpoints() = std::move(record);
+    for (const policy::strike& strike : strikes_.all(now)) {
+        schema::strike_record* record = gossip->add_strikes();
+        record->set_fingerprint(strike.request.str());
+        record->set_endpoint(strike.endpoint.str());
+        record->set_age_ms(static_cast<std::uint32_t>((now - strike.at).count() / 1000));
     }
-    rumor->set_beacon_term(freshness_.term());
-    rumor->set_beacon(freshness_.beacon());
-    rumor->set_beacon_age_ms(static_cast<std::uint32_t>(freshness_.age(now).count()));
-    rumor->set_config_version(config_.version());
+    gossip->set_beacon_term(freshness_.term());
+    gossip->set_beacon(freshness_.beacon());
+    gossip->set_beacon_age_ms(static_cast<std::uint32_t>(freshness_.age(now).count()));
+    gossip->set_config_version(config_.version());
     for (const std::vector<endpoint_use>* uses : {&online_uses_, &batch_uses_}) {
-        for (const endpoint_use& one : *uses) {
-            schema::endpoint_use* told = rumor->add_uses();
-            told->set_endpoint(one.endpoint.str());
-            told->set_online(one.online);
-            told->set_batch(one.batch);
-            told->set_suspects(one.suspects);
+        for (const endpoint_use& use : *uses) {
+            schema::endpoint_use* use_record = gossip->add_uses();
+            use_record->set_endpoint(use.endpoint.str());
+            use_record->set_online(use.online);
+            use_record->set_batch(use.batch);
+            use_record->set_suspects(use.suspects);
         }
     }
-    for (const std::pair<const team_id, double>& one : rates_) {
-        schema::team_rate* told = rumor->add_rates();
-        told->set_team(one.first.str());
-        told->set_per_second(one.second);
+    for (const std::pair<const team_id, double>& rate : rates_) {
+        schema::team_rate* rate_record = gossip->add_rates();
+        rate_record->set_team(rate.first.str());
+        rate_record->set_per_second(rate.second);
     }
     for (const schema::entry_hello* peer : entries_.alive(now)) {
         if (peer->entry() == settings_.name())
             continue;
-        // The lists go only to a peer that has said it holds older ones.
-        rumor->clear_config();
+        // The configuration is sent only to peers that reported an older version.
+        gossip->clear_config();
         if (peer->config_version() < config_.version())
-            *rumor->mutable_config() = config_;
+            *gossip->mutable_config() = config_;
         hub_->send(peer_address(peer->peer_address()), envelope);
     }
 }
--- a/lib/entry/control_view.cpp
+++ b/lib/entry/control_view.cpp
@@ -1,4 +1,4 @@
-// What the control task tells the other tasks, and the state dump, of the fleet.
+// Builds the fleet view for the other tasks and the control task's part of the state dump.
 
 #include "cassia/entry/control_task.h"
 
@@ -10,21 +10,21 @@
 namespace cassia::entry {
 
 std::vector<policy::endpoint_facts> control_task::endpoint_facts(instant now) const {
-    const std::vector<const schema::entry_hello*> alive = entries_.alive(now);
-    std::map<std::string, endpoint_use> uses;
-    for (const std::pair<const entry_id, other_entry>& other : others_) {
-        if (now - other.second.heard > others_silent_after)
+    const std::vector<const schema::entry_hello*> live_entries = entries_.alive(now);
+    std::map<std::string, endpoint_use> peer_uses;
+    for (const std::pair<const entry_id, peer_entry>& peer : peers_) {
+        if (now - peer.second.last_heard > peer_timeout)
             continue;
-        for (const schema::endpoint_use& one : other.second.rumor.uses()) {
-            endpoint_use& sum = uses[one.endpoint()];
-            sum.online += one.online();
-            sum.batch += one.batch();
-            sum.suspects += one.suspects();
+        for (const schema::endpoint_use& use : peer.second.last_gossip.uses()) {
+            endpoint_use& total = peer_uses[use.endpoint()];
+            total.online += use.online();
+            total.batch += use.batch();
+            total.suspects += use.suspects();
         }
     }
-    std::vector<policy::endpoint_facts> out;
-    for (const membership::endpoint_entry* one : directory_.serving(now)) {
-        const schema::endpoint_record& record = one->record;
+    std::vector<policy::endpoint_facts> all_facts;
+    for (const membership::endpoint_entry* known : directory_.serving(now)) {
+        const schema::endpoint_record& record = known->record;
         policy::endpoint_facts facts;
         facts.id = endpoint_id(record.id());
         facts.incarnation = record.incarnation();
@@ -40,16 +40,16 @@
             served.versions.insert(model.versions().begin(), model.versions().end());
             served.adapters.insert(model.adapters().begin(), model.adapters().end());
         }
-        auto used = uses.find(record.id());
-        if (used != uses.end()) {
-            facts.others_online = used->second.online;
-            facts.others_batch = used->second.batch;
-            facts.others_suspects = used->second.suspects;
+        auto peer_use = peer_uses.find(record.id());
+        if (peer_use != peer_uses.end()) {
+            facts.others_online = peer_use->second.online;
+            facts.others_batch = peer_use->second.batch;
+            facts.others_suspects = peer_use->second.suspects;
         }
-        facts.steward = membership::steward_of(facts.id, record.zone(), alive);
-        out.push_back(std::move(facts));
+        facts.steward = membership::steward_of(facts.id, record.zone(), live_entries);
+        all_facts.push_back(std::move(facts));
     }
-    return out;
+    return all_facts;
 }
 
 void control_task::publish_view() {
@@ -57,24 +57,24 @@
     std::shared_ptr<fleet_view> view = std::make_shared<fleet_view>();
     view->endpoints = endpoint_facts(now);
     view->entries_version = entries_.version(now);
-    for (const schema::entry_hello* one : entries_.open(now))
+    for (const schema::entry_hello* entry : entries_.open(now))
         view->entries.push_back(
-            {entry_id(one->entry()), one->http_address(), zone_id(one->zone())});
+            {entry_id(entry->entry()), entry->http_address(), zone_id(entry->zone())});
     view->catalog = catalog_;
     view->stale = freshness_.is_stale(now);
     view->strikes = strikes_.all(now);
-    view->leader_contacts = leader_contacts_;
-    view->keeper_clocks = keeper_clocks_;
-    for (const std::pair<const entry_id, other_entry>& other : others_) {
-        if (now - other.second.heard > others_silent_after)
+    view->leader_last_heard = leader_last_heard_;
+    view->leader_clocks = leader_clocks_;
+    for (const std::pair<const entry_id, peer_entry>& peer : peers_) {
+        if (now - peer.second.last_heard > peer_timeout)
             continue;
-        for (const schema::team_rate& rate : other.second.rumor.rates())
-            view->others_rates[team_id(rate.team())] += rate.per_second();
+        for (const schema::team_rate& rate : peer.second.last_gossip.rates())
+            view->peer_rates[team_id(rate.team())] += rate.per_second();
     }
-    hooks_.on_view(std::move(view));
+    hooks_.on_view_changed(std::move(view));
 }
 
-std::string control_task::dump_text() const {
+std::string control_task::dump_json() const {
     const instant now = monotonic_now();
     boost::json::object out;
     out["holder"] = holder_;
@@ -84,32 +84,33 @@
     out["draining"] = draining_;
     out["open_keeper_requests"] = keepers_.open_requests();
     boost::json::array endpoints;
-    const std::vector<const schema::entry_hello*> alive = entries_.alive(now);
-    for (const std::pair<const endpoint_id, membership::endpoint_entry>& one : directory_.all()) {
-        const schema::endpoint_record& record = one.second.record;
+    const std::vector<const schema::entry_hello*> live_entries = entries_.alive(now);
+    for (const std::pair<const endpoint_id, membership::endpoint_entry>& known : directory_.all()) {
+        const schema::endpoint_record& record = known.second.record;
         endpoints.push_back(
             {{"id", record.id()},
              {"address", record.address()},
              {"zone", record.zone()},
-             {"state", one.second.leaving ? "leaving" : "serving"},
-             {"silent_ms", (now - one.second.heard).count() / 1000},
+             {"state", known.second.leaving ? "leaving" : "serving"},
+             {"silent_ms", (now - known.second.heard).count() / 1000},
              {"running", record.load().running()},
              {"max_running", record.max_running()},
-             {"steward", membership::steward_of(one.first, record.zone(), alive).str()}});
+             {"steward", membership::steward_of(known.first, record.zone(), live_entries).str()}});
     }
     out["endpoints"] = std::move(endpoints);
     boost::json::array entries;
-    for (const schema::entry_hello* one : alive)
-        entries.push_back({{"entry", one->entry()},
-                           {"address", one->http_address()},
-                           {"zone", one->zone()},
-                           {"config_version", one->config_version()},
-                           {"draining", one->draining()},
-                           {"stale", one->stale()}});
+    for (const schema::entry_hello* hello : live_entries)
+        entries.push_back({{"entry", hello->entry()},
+                           {"address", hello->http_address()},
+                           {"zone", hello->zone()},
+                           {"config_version", hello->config_version()},
+                           {"draining", hello->draining()},
+                           {"stale", hello->stale()}});
     out["entries"] = std::move(entries);
     boost::json::array strikes;
-    for (const policy::strike& one : strikes_.all(now))
-        strikes.push_back({{"fingerprint", one.request.str()}, {"endpoint", one.endpoint.str()}});
+    for (const policy::strike& strike : strikes_.all(now))
+        strikes.push_back(
+            {{"fingerprint", strike.request.str()}, {"endpoint", strike.endpoint.str()}});
     out["strikes"] = std::move(strikes);
     return boost::json::serialize(out);
 }
--- a/lib/entry/crash_tracker.cpp
+++ b/lib/entry/crash_tracker.cpp
@@ -6,40 +6,41 @@
 
 namespace {
 constexpr milliseconds probe_timeout(400);
-constexpr milliseconds one_death(1000);
-// A process that ends closes its connections one by one; after this time its listener is closed
-// too.
-constexpr milliseconds probe_pause(50);
-constexpr int most_probes = 2;
+// Reports of a crash within this time of the previous one are taken to be about the same crash.
+constexpr milliseconds same_crash_window(1000);
+// An exiting process closes its sockets one by one; after this delay its listening socket is closed
+// as well.
+constexpr milliseconds probe_retry_delay(50);
+constexpr int max_probes = 2;
 } // namespace
 
-crash_blame::crash_blame(net::task& task, net::http_client& client, control_task& control,
-                         std::function<void(const policy::strike&)> on_strike)
+crash_tracker::crash_tracker(net::task& task, net::http_client& client, control_task& control,
+                             std::function<void(const policy::strike&)> on_strike)
     : task_(task), client_(client), control_(control), on_strike_(std::move(on_strike)),
       strikes_(policy::strike_memory) {}
 
-void crash_blame::probe(const http_address& address, std::function<void(bool dead)> done) {
-    probe_again(address, std::move(done), most_probes);
+void crash_tracker::probe(const http_address& address, std::function<void(bool dead)> done) {
+    send_probe(address, std::move(done), max_probes);
 }
 
-// A probe that falls between the end of the request's connection and that of the listener is taken
-// and then broken. Taken for a sign of life it lets a poisonous request go unblamed and crash a
-// third engine.
-void crash_blame::probe_again(const http_address& address, std::function<void(bool dead)> done,
-                              int probes) {
+// A probe sent after the exiting process has closed the request's connection, but before it closes
+// its listening socket, is accepted and then reset. Counting that as a sign of life would leave the
+// request that caused the crash without a strike, and it could go on to crash a third engine.
+void crash_tracker::send_probe(const http_address& address, std::function<void(bool dead)> done,
+                               int probes_left) {
     net::http_call call;
     call.to = address;
     call.path = "/health";
     call.fresh_connection = true;
     call.progress_timeout = probe_timeout;
     net::fetch(client_, call,
-               [this, address, probes, done = std::move(done)](
+               [this, address, probes_left, done = std::move(done)](
                    const outcome<net::http_answer, net::http_failure>& answer) {
                    const bool broken =
                        !answer && answer.error().cause.code == net::errc::connection_lost;
-                   if (broken && probes > 1) {
-                       task_.after(probe_pause, [this, address, probes, done] {
-                           probe_again(address, done, probes - 1);
+                   if (broken && probes_left > 1) {
+                       task_.after(probe_retry_delay, [this, address, probes_left, done] {
+                           send_probe(address, done, probes_left - 1);
                        });
                        return;
                    }
@@ -47,46 +48,46 @@
                });
 }
 
-bool crash_blame::died(const endpoint_id& endpoint,
-                       const std::vector<policy::running_request>& running) {
+bool crash_tracker::record_crash(const endpoint_id& endpoint,
+                                 const std::vector<policy::running_request>& running) {
     const instant now = monotonic_now();
-    auto known = deaths_.find(endpoint);
-    if (known != deaths_.end() && now - known->second < one_death)
+    auto known = last_crashes_.find(endpoint);
+    if (known != last_crashes_.end() && now - known->second < same_crash_window)
         return false;
-    deaths_[endpoint] = now;
+    last_crashes_[endpoint] = now;
     const policy::death_blame blame = strikes_.blame(running, now);
-    strike(blame.certain, endpoint, now);
+    add_strikes(blame.certain, endpoint, now);
     if (blame.likely.empty())
         return true;
     task_.after(policy::blame_delay, [this, likely = blame.likely, endpoint, now] {
         if (!strikes_.knows_death(endpoint, now - policy::blame_delay))
-            strike(likely, endpoint, now);
+            add_strikes(likely, endpoint, now);
     });
     return true;
 }
 
-void crash_blame::strike(const std::vector<fingerprint>& requests, const endpoint_id& endpoint,
-                         instant at) {
+void crash_tracker::add_strikes(const std::vector<fingerprint>& requests,
+                                const endpoint_id& endpoint, instant at) {
     for (const fingerprint& request : requests) {
-        const policy::strike hit{request, endpoint, at};
-        strikes_.add(hit);
-        control_.add_strike(hit);
+        const policy::strike new_strike{request, endpoint, at};
+        strikes_.add(new_strike);
+        control_.add_strike(new_strike);
         if (on_strike_)
-            on_strike_(hit);
+            on_strike_(new_strike);
     }
 }
 
-void crash_blame::learn(const std::vector<policy::strike>& strikes) {
-    for (const policy::strike& one : strikes)
-        strikes_.add(one);
+void crash_tracker::merge_strikes(const std::vector<policy::strike>& strikes) {
+    for (const policy::strike& strike : strikes)
+        strikes_.add(strike);
     strikes_.forget_old(monotonic_now());
 }
 
-bool crash_blame::is_suspect(const fingerprint& request) const {
+bool crash_tracker::is_suspect(const fingerprint& request) const {
     return strikes_.is_suspect(request, monotonic_now());
 }
 
-bool crash_blame::is_quarantined(const fingerprint& request) const {
+bool crash_tracker::is_quarantined(const fingerprint& request) const {
     return strikes_.is_quarantined(request, monotonic_now());
 }
 
--- a/lib/entry/decision_log.cpp
+++ b/lib/entry/decision_log.cpp
@@ -7,7 +7,7 @@
 
 namespace cassia::entry {
 
-const char* decision_name(decision_kind kind) {
+const char* decision_kind_name(decision_kind kind) {
     switch (kind) {
     case decision_kind::routed:
         return "routed";
@@ -41,18 +41,19 @@
     if (ring_.size() > capacity_)
         ring_.pop_front();
     log_debug("decision")
-        .with("kind", decision_name(kind))
+        .with("kind", decision_kind_name(kind))
         .with("subject", subject)
         .with("object", object)
         .with("reason", reason);
 }
 
-std::vector<decision> decision_log::about(const std::string& text) const {
-    std::vector<decision> found;
-    std::copy_if(
-        ring_.begin(), ring_.end(), std::back_inserter(found),
-        [&text](const decision& one) { return one.subject == text || one.object == text; });
-    return found;
+std::vector<decision> decision_log::find(const std::string& id) const {
+    std::vector<decision> matches;
+    std::copy_if(ring_.begin(), ring_.end(), std::back_inserter(matches),
+                 [&id](const decision& candidate) {
+                     return candidate.subject == id || candidate.object == id;
+                 });
+    return matches;
 }
 
 } // namespace cassia::entry
--- a/lib/entry/fleet_view.cpp
+++ b/lib/entry/fleet_view.cpp
@@ -5,8 +5,9 @@
 namespace cassia::entry {
 
 const policy::endpoint_facts* find_endpoint(const fleet_view& view, const endpoint_id& id) {
-    auto found = std::find_if(view.endpoints.begin(), view.endpoints.end(),
-                              [&id](const policy::endpoint_facts& one) { return one.id == id; });
+    auto found =
+        std::find_if(view.endpoints.begin(), view.endpoints.end(),
+                     [&id](const policy::endpoint_facts& endpoint) { return endpoint.id == id; });
     return found == view.endpoints.end() ? nullptr : &*found;
 }
 
--- a/lib/entry/http_task.cpp
+++ b/lib/entry/http_task.cpp
@@ -87,7 +87,7 @@
     task_.run();
 }
 
-void front_task::set_view(view_pointer view) {
+void front_task::set_view(fleet_view_ptr view) {
     task_.post([this, view = std::move(view)] {
         context_.view = view;
         online_->view_changed();
--- a/lib/entry/online_arrival.cpp
+++ b/lib/entry/online_arrival.cpp
@@ -173,7 +173,7 @@
     one.print = cassia::fingerprint(sha256_hex(one.from.plan->team.str() + "\n" +
                                                one.request.method + "\n" + one.request.path + "\n" +
                                                canonical_body(one.request.body)));
-    if (blame_.is_quarantined(one.print)) {
+    if (crash_tracker_.is_quarantined(one.print)) {
         refuse_early(one, {refusal_code::quarantined, "this request crashed endpoints"});
         return;
     }
@@ -281,7 +281,7 @@
     constexpr int suspect_patience = 10;
     const instant now = monotonic_now();
     const milliseconds usual(context_.settings.queue_wait_ms());
-    const bool suspect = blame_.is_suspect(one.print);
+    const bool suspect = crash_tracker_.is_suspect(one.print);
     const instant patience = now + (suspect ? usual * suspect_patience : usual);
     one.waiting = waiting_.add({one.exchange, one.from.plan->team, one.from.plan->weight,
                                 std::min(patience, one.deadline)});
--- a/lib/entry/online_calls.cpp
+++ b/lib/entry/online_calls.cpp
@@ -29,7 +29,7 @@
                                       entry_id(context.settings.name())},
               random_bits()),
       waiting_(context.settings.max_queue()), retries_(retry_ratio, retry_reserve),
-      blame_(context.task, client_, context.control, [this](const policy::strike& hit) {
+      crash_tracker_(context.task, client_, context.control, [this](const policy::strike& hit) {
           context_.decisions.add(decision_kind::struck, hit.request.str(), hit.endpoint.str(),
                                  "the endpoint died while it ran");
       }) {}
@@ -101,7 +101,7 @@
 
 void online_calls::view_changed() {
     router_.set_endpoints(context_.view->endpoints);
-    blame_.learn(context_.view->strikes);
+    crash_tracker_.merge_strikes(context_.view->strikes);
     for (const std::pair<const endpoint_id, endpoint_use>& use : batch_uses_)
         router_.set_own_batch(use.first, use.second.batch, use.second.suspects);
     refresh_rates();
@@ -118,9 +118,8 @@
             continue;
         }
         one->second.configure(plan->rate.per_second, plan->burst.value);
-        auto others = context_.view->others_rates.find(one->first);
-        one->second.set_others_rate(others == context_.view->others_rates.end() ? 0
-                                                                                : others->second);
+        auto others = context_.view->peer_rates.find(one->first);
+        one->second.set_others_rate(others == context_.view->peer_rates.end() ? 0 : others->second);
         ++one;
     }
 }
--- a/lib/entry/online_dispatch.cpp
+++ b/lib/entry/online_dispatch.cpp
@@ -31,7 +31,7 @@
         call* one = find(exchange);
         if (one == nullptr)
             return true;
-        const bool plain = !blame_.is_suspect(one->print) && one->failed_at.empty();
+        const bool plain = !crash_tracker_.is_suspect(one->print) && one->failed_at.empty();
         const std::string kind =
             one->demand.service.str() + "\n" + one->demand.version + "\n" + one->demand.adapter;
         if (plain && full.count(kind) > 0)
@@ -49,7 +49,7 @@
     policy::pick_request wanted;
     wanted.demand = one.demand;
     wanted.prefix = one.prefix;
-    wanted.suspect = blame_.is_suspect(one.print);
+    wanted.suspect = crash_tracker_.is_suspect(one.print);
     wanted.avoid = one.failed_at;
     const std::optional<policy::pick> chosen = router_.choose(wanted, now);
     if (!chosen)
@@ -215,7 +215,7 @@
         return;
     }
     if (may_be_dead) {
-        blame_.probe(facts->address, [this, exchange, failed](bool dead) {
+        crash_tracker_.probe(facts->address, [this, exchange, failed](bool dead) {
             if (find(exchange) != nullptr)
                 decide_after_failure(exchange, failed, dead);
         });
@@ -230,7 +230,7 @@
         if (one.second.running && one.second.endpoint == endpoint)
             running.push_back({one.second.print, one.second.has_output});
     }
-    if (!blame_.died(endpoint, running))
+    if (!crash_tracker_.record_crash(endpoint, running))
         return;
     router_.eject(endpoint, monotonic_now());
     context_.decisions.add(decision_kind::ejected, endpoint.str(), "", "it died");
@@ -245,7 +245,7 @@
         router_.eject(one.endpoint, monotonic_now());
     one.failed_at.insert(one.endpoint);
     end_attempt(one, policy::call_result::failed);
-    if (blame_.is_quarantined(one.print)) {
+    if (crash_tracker_.is_quarantined(one.print)) {
         refuse(exchange,
                {refusal_code::quarantined, "this request crashed endpoints", run_state::yes});
         return;
--- a/lib/entry/operator_api.cpp
+++ b/lib/entry/operator_api.cpp
@@ -154,10 +154,10 @@
 
 void operator_api::explain(exchange_id exchange, const std::string& subject) {
     boost::json::array decisions;
-    for (const decision& one : context_.decisions.about(subject))
+    for (const decision& one : context_.decisions.find(subject))
         decisions.push_back({{"at", to_unix_ms(one.at)},
                              {"entry", context_.settings.name()},
-                             {"kind", decision_name(one.kind)},
+                             {"kind", decision_kind_name(one.kind)},
                              {"subject", one.subject},
                              {"object", one.object},
                              {"reason", one.reason}});
--- a/lib/entry/service.cpp
+++ b/lib/entry/service.cpp
@@ -7,16 +7,16 @@
 namespace cassia::entry {
 
 service::service(const schema::entry_settings& settings)
-    : control_(settings, control_hooks{[this](const view_pointer& view) {
-                                           front_.set_view(view);
-                                           batch_.set_view(view);
-                                       },
-                                       [this](const endpoint_id& endpoint, std::uint32_t slots) {
-                                           batch_.yield(endpoint, slots);
-                                       },
-                                       [this](const std::vector<job_id>& jobs) {
-                                           batch_.cancel_jobs(jobs);
-                                       }}),
+    : control_(settings,
+               control_task_hooks{
+                   [this](const fleet_view_ptr& view) {
+                       front_.set_view(view);
+                       batch_.set_view(view);
+                   },
+                   [this](const endpoint_id& endpoint, std::uint32_t slots) {
+                       batch_.yield(endpoint, slots);
+                   },
+                   [this](const std::vector<job_id>& jobs) { batch_.cancel_jobs(jobs); }}),
       front_(settings, control_,
              front_hooks{[this](batch_offers offers) { batch_.set_offers(std::move(offers)); },
                          [this](std::function<void(std::string)> done) {
