--- a/include/cassia/entry/announce_api.h
+++ b/include/cassia/entry/announce_api.h
@@ -1,4 +1,4 @@
-/// Endpoints' announcements: POST /v1/announce.
+/// Handles the periodic announcements of endpoints: POST /v1/announce.
 #pragma once
 
 #include "cassia/entry/http_task.h"
@@ -9,13 +9,13 @@
 
 class announce_api {
 public:
-    explicit announce_api(front_context& context) : context_(context) {}
+    explicit announce_api(http_context& context) : context_(context) {}
 
     void serve(exchange_id exchange, const net::http_request& request,
                const std::string& request_id);
 
 private:
-    front_context& context_;
+    http_context& context_;
 };
 
 } // namespace cassia::entry
--- a/include/cassia/entry/batch_task.h
+++ b/include/cassia/entry/batch_task.h
@@ -1,5 +1,6 @@
-/// Runs batch items on the endpoints that this entry is the steward of, in the slots that online
-/// calls leave. A task of its own, with its own connections: nothing online waits behind it.
+/// Runs batch items, in the slots that online calls leave free, on the endpoints whose steward is
+/// this entry. It is a separate task with its own connections, so that online calls never wait for
+/// it.
 #pragma once
 
 #include "cassia/base/metrics.h"
@@ -24,109 +25,113 @@
 
 namespace cassia::entry {
 
-/// Run on the batch task.
-struct batch_hooks {
-    /// What runs where now.
+/// These run on the batch task.
+struct batch_task_hooks {
+    /// Receives the number of items running at each endpoint.
     std::function<void(std::vector<endpoint_use>)> on_uses;
-    /// Something worth explaining later.
     std::function<void(decision)> on_decision;
 };
 
 class batch_task {
 public:
-    batch_task(const schema::entry_settings& settings, control_task& control, batch_hooks hooks);
+    batch_task(const schema::entry_settings& settings, control_task& control,
+               batch_task_hooks hooks);
     ~batch_task();
 
     void start();
     void stop();
 
-    // These may be called from any task.
+    // The following functions may be called from any task.
     void set_view(fleet_view_ptr view);
-    void set_offers(batch_offers offers);
-    /// Online calls want slots of an endpoint: batch items there stop at once.
+    void set_capacities(batch_capacities capacities);
+    /// Stops up to this many batch items at an endpoint, to free their slots for online calls.
     void yield(const endpoint_id& endpoint, std::uint32_t slots);
     void cancel_jobs(const std::vector<job_id>& jobs);
-    /// Takes no further items and gives back those it holds.
+    /// Stops leasing items and returns held ones to their groups, except running items that must
+    /// not run twice.
     void drain();
-    void dump(net::task& home, std::function<void(std::string)> done);
+    void dump(net::task& reply_task, std::function<void(std::string)> done);
 
 private:
     using item_id = std::pair<job_id, std::uint32_t>;
-    struct item {
+    struct batch_item {
         schema::leased_item lease;
         service_id service;
-        cassia::fingerprint print;
-        bool engine = true;
-        std::vector<std::string> tokens; ///< kept over a yield, so that the stream can go on
+        cassia::fingerprint fingerprint;
+        bool for_engine = true; ///< a call of a model, not of a plain service
+        /// Data of the stream events received, kept when a run is stopped so that the next run can
+        /// resume the stream.
+        std::vector<std::string> token_events;
         int runs = 0;
-        instant ready_since{}; ///< when it began to wait for a slot here
-        std::set<endpoint_id> failed_at;
+        instant queued_since{}; ///< when it was last queued for a slot here
+        std::set<endpoint_id> failed_endpoints;
 
-        // The run under way.
+        // The current run.
         bool running = false;
         bool suspect = false;
         endpoint_id endpoint;
-        call_id upstream;
-        net::http_head head;
-        std::string answer;
-        event_splitter events;
-        bool done_seen = false;
-        bool has_output = false; ///< a token came in this run
+        call_id upstream_call;
+        net::http_head response_head;
+        std::string response_body;
+        event_splitter splitter;
+        bool done_received = false;
+        bool has_output = false; ///< this run has received an event
         std::string request_id;
     };
-    struct seat {
-        batch_offer offer;
-        std::vector<item_id> running; ///< newest last
+    struct endpoint_state {
+        batch_capacity capacity;
+        std::vector<item_id> running; ///< oldest first
         instant paused_until{};
-        std::uint32_t failures = 0; ///< in a row, each behind the pause for the one before
+        std::uint32_t failures = 0; ///< consecutive; a failure during a pause does not count
     };
 
-    // Leases and ends (batch_leases.cpp).
+    // Leasing items and reporting results (batch_leases.cpp).
     void request_leases();
-    static void pause_seat(seat& at);
-    std::map<service_id, std::uint32_t> wanted_items() const;
-    void on_leased(const schema::keeper_reply& reply, instant asked_at);
-    void tell_held();
+    static void pause_after_failure(endpoint_state& state);
+    std::map<service_id, std::uint32_t> items_to_lease() const;
+    void on_lease_reply(const schema::keeper_reply& reply, instant requested_at);
+    void report_held_items();
     void end_item(const item_id& id, schema::item_end end);
-    void give_back(const item_id& id);
-    void give_back_stranded();
-    void make_ready(const item_id& id, bool first);
-    void flush_ends();
+    void return_item(const item_id& id);
+    void return_stranded_items();
+    void enqueue(const item_id& id, bool at_front);
+    void send_item_ends();
 
     // Running items (batch_items.cpp).
     void place_items();
-    bool may_start(const item& one, instant now) const;
+    bool has_leader_contact(const batch_item& item, instant now) const;
     void start_item(const item_id& id, const policy::endpoint_facts& facts);
-    std::string upstream_body(const item& one) const;
-    void shrink(seat& at, std::uint32_t to, const char* reason);
-    void stop_run(item& one);
-    void on_piece(const item_id& id, std::string_view piece);
+    std::string upstream_request_body(const batch_item& item) const;
+    void stop_newest(endpoint_state& state, std::uint32_t max_running, const char* reason);
+    void stop_run(batch_item& item);
+    void on_chunk(const item_id& id, std::string_view chunk);
     void on_end(const item_id& id);
-    void on_failure(const item_id& id, const net::http_failure& failed);
-    void decide_after_failure(const item_id& id, const net::http_failure& failed, bool died);
-    void blame_death(const endpoint_id& endpoint);
+    void on_failure(const item_id& id, const net::http_failure& failure);
+    void handle_failure(const item_id& id, const net::http_failure& failure, bool crashed);
+    void record_crash(const endpoint_id& endpoint);
     void complete(const item_id& id);
-    std::string assembled_body(const item& one) const;
+    std::string result_body(const batch_item& item) const;
     void report_uses();
-    void explain(decision_kind kind, const std::string& subject, const std::string& object,
-                 const std::string& reason);
+    void record_decision(decision_kind kind, const std::string& subject, const std::string& object,
+                         const std::string& reason);
     void tick();
 
     schema::entry_settings settings_;
     control_task& control_;
-    batch_hooks hooks_;
+    batch_task_hooks hooks_;
     net::task task_;
     net::http_client client_;
     metrics metrics_;
     crash_tracker crash_tracker_;
     fleet_view_ptr view_;
-    std::map<endpoint_id, seat> seats_;
-    std::map<item_id, item> items_;
-    std::map<service_id, std::deque<item_id>> ready_;
-    std::map<group_id, std::vector<std::pair<item_id, schema::item_end>>> ends_;
-    std::map<group_id, bool> flushing_;
-    std::set<group_id> leasing_;
-    std::uint32_t next_group_ = 0;
+    std::map<endpoint_id, endpoint_state> endpoints_;
+    std::map<item_id, batch_item> items_;
+    std::map<service_id, std::deque<item_id>> queues_; ///< items that wait for a slot
+    /// Ended items whose group has not confirmed the end yet.
+    std::map<group_id, std::vector<std::pair<item_id, schema::item_end>>> unconfirmed_ends_;
+    std::map<group_id, bool> sending_ends_; ///< whether a request with ends is in flight
+    std::set<group_id> groups_leasing_;     ///< groups with a lease request in flight
+    std::uint32_t next_lease_group_ = 0;
     instant next_lease_at_{};
     bool draining_ = false;
     bool uses_changed_ = false;
--- a/include/cassia/entry/http_task.h
+++ b/include/cassia/entry/http_task.h
@@ -1,5 +1,5 @@
-/// The task that serves HTTP: it receives each request, checks who sends it, and hands it to the
-/// part that answers it.
+/// The task that serves HTTP: it receives each request, authenticates its sender and passes it to
+/// the component that answers it.
 #pragma once
 
 #include "cassia/base/metrics.h"
@@ -26,8 +26,8 @@
 class online_calls;
 class operator_api;
 
-/// What the parts of the front share. They run on its task.
-struct front_context {
+/// State shared by the components that run on the HTTP task.
+struct http_context {
     const schema::entry_settings& settings;
     net::task& task;
     control_task& control;
@@ -37,48 +37,48 @@
     fleet_view_ptr view;
     bool draining = false;
 
-    /// Answers the exchange with a refusal.
+    /// Answers the exchange with an error.
     void refuse(exchange_id exchange, const refusal& refused, const std::string& request_id);
 };
 
-/// A caller who showed a known key.
-struct caller {
+/// A caller that presented a known API key.
+struct authenticated_caller {
     const settings::plan* plan = nullptr; ///< valid as long as `catalog`
     std::shared_ptr<const settings::catalog> catalog;
 };
 
-/// What the batch task may do at one endpoint.
-struct batch_offer {
+/// What the batch task may use of one endpoint.
+struct batch_capacity {
     std::uint32_t slots = 0;
-    bool suspect_running = false; ///< an online call that may crash it runs there
+    bool suspect_running = false; ///< a request suspected of crashing endpoints runs there
 };
-using batch_offers = std::map<endpoint_id, batch_offer>;
+using batch_capacities = std::map<endpoint_id, batch_capacity>;
 
-struct front_hooks {
-    /// On the front's task.
-    std::function<void(batch_offers)> on_batch_offers;
-    /// The batch task's part of the dump, as JSON; `done` runs on the front's task.
+struct http_task_hooks {
+    /// Runs on the HTTP task.
+    std::function<void(batch_capacities)> on_batch_capacities;
+    /// Requests the batch task's part of the state dump, as JSON; `done` runs on the HTTP task.
     std::function<void(std::function<void(std::string)> done)> dump_batch;
     std::function<void()> drain_batch;
     std::function<void()> on_drained;
 };
 
-class front_task {
+class http_task {
 public:
-    front_task(const schema::entry_settings& settings, control_task& control, front_hooks hooks);
-    ~front_task();
+    http_task(const schema::entry_settings& settings, control_task& control, http_task_hooks hooks);
+    ~http_task();
 
-    /// Opens the socket. \returns an empty string or what went wrong.
+    /// Opens the socket. \returns an empty string or an error message.
     std::string open();
     /// Serves on the calling thread until drained.
     void run();
 
-    // These may be called from any task.
+    // The following functions may be called from any task.
     void set_view(fleet_view_ptr view);
     void set_batch_uses(std::vector<endpoint_use> uses);
-    /// Keeps a decision of another task for the explanations.
-    void note(decision one);
-    net::task& home() { return task_; }
+    /// Adds a decision made by another task to the decision log.
+    void add_decision(decision added);
+    net::task& task() { return task_; }
     void drain();
 
 private:
@@ -86,17 +86,18 @@
     void serve_entries(exchange_id exchange, const std::string& request_id);
     void serve_dump(exchange_id exchange);
     void serve_metrics(exchange_id exchange);
-    std::optional<caller> authenticate(exchange_id exchange, const net::http_request& request,
-                                       const std::string& request_id);
+    std::optional<authenticated_caller> authenticate(exchange_id exchange,
+                                                     const net::http_request& request,
+                                                     const std::string& request_id);
     void check_drained();
-    void on_signal_dump();
+    void log_state_dump();
 
     schema::entry_settings settings_;
-    front_hooks hooks_;
+    http_task_hooks hooks_;
     net::task task_;
     metrics metrics_;
     decision_log decisions_;
-    front_context context_;
+    http_context context_;
     std::unique_ptr<net::http_server> server_;
     std::unique_ptr<online_calls> online_;
     std::unique_ptr<batch_api> batch_;
--- a/include/cassia/entry/keeper_client.h
+++ b/include/cassia/entry/keeper_client.h
@@ -1,5 +1,6 @@
-/// Requests to the keepers: finds each group's leader, resends what got lost, gives up in time.
-/// Commands are idempotent, so a resend is safe; late replies to an earlier send are dropped.
+/// Sends requests to the keepers: finds the leader of the group, resends requests that got no reply
+/// and reports a failure when the request's timeout expires. Commands are idempotent, so resending
+/// is safe; replies to an earlier transmission of a request are ignored.
 #pragma once
 
 #include "cassia/base/clock.h"
@@ -20,8 +21,8 @@
 };
 
 struct request_options {
-    milliseconds timeout{5000}; ///< longest wait for the outcome
-    bool resend = true;         ///< false: sent once, for requests that aren't idempotent
+    milliseconds timeout{5000}; ///< longest wait for a final reply
+    bool resend = true;         ///< false: send only once, for requests that are not idempotent
 };
 
 class keeper_client {
@@ -31,14 +32,15 @@
 
     keeper_client(std::vector<keeper_address> keepers, send_function send);
 
-    /// Replaces the keepers to ask.
+    /// Replaces the list of known keepers.
     void set_keepers(std::vector<keeper_address> keepers);
 
-    /// `done` gets the reply, or one with the result `unavailable` when patience ends.
-    void send_request(schema::keeper_request request, request_options options, reply_callback done,
-                      instant now);
+    /// Sends a request to the leader of its group. `on_reply` receives the reply, or one with the
+    /// result `unavailable` when the timeout expires.
+    void send_request(schema::keeper_request request, request_options options,
+                      reply_callback on_reply, instant now);
     void handle_reply(schema::keeper_reply reply, instant now);
-    /// A keeper said that it leads the group.
+    /// Records that a keeper claims to lead the group.
     void set_leader(group_id group, const std::string& node);
     void tick(instant now);
 
@@ -48,19 +50,19 @@
     struct open_request {
         schema::keeper_request request;
         request_options options;
-        reply_callback done;
-        instant give_up_at{};
+        reply_callback on_reply;
+        instant expires_at{};
         instant resend_at{};
         std::size_t next_keeper = 0;
     };
 
-    void send(open_request& one, instant now);
-    const keeper_address& target(open_request& one);
+    void transmit(open_request& open, instant now);
+    const keeper_address& choose_keeper(open_request& open);
 
     std::vector<keeper_address> keepers_;
     send_function send_;
     std::map<group_id, std::string> leaders_;
-    std::map<std::uint64_t, open_request> open_; ///< by the id of the last send
+    std::map<std::uint64_t, open_request> open_; ///< by the id of the last transmission
     std::uint64_t last_id_ = 0;
 };
 
--- a/include/cassia/entry/online_calls.h
+++ b/include/cassia/entry/online_calls.h
@@ -1,5 +1,5 @@
-/// Online calls from arrival to answer: admission, idempotency keys, routing, retries, streams that
-/// go on at another endpoint.
+/// Serves online calls: admission, idempotency keys, routing, retries, and continuation of
+/// interrupted streams at another endpoint.
 #pragma once
 
 #include "cassia/entry/crash_tracker.h"
@@ -20,136 +20,135 @@
 
 class online_calls {
 public:
-    online_calls(front_context& context, std::function<void(batch_offers)> on_batch_offers);
+    online_calls(http_context& context, std::function<void(batch_capacities)> on_batch_capacities);
     ~online_calls();
 
-    /// A call of a model: /v1/completions or /v1/chat/completions.
-    void serve_model(exchange_id exchange, net::http_request request, const caller& from,
-                     const std::string& request_id);
-    /// A call of a plain service: /v1/services/{service}/{path}.
-    void serve_service(exchange_id exchange, net::http_request request, const caller& from,
-                       const std::string& request_id);
-    /// The caller has gone.
-    void gone(exchange_id exchange);
+    /// Serves a call of a model: /v1/completions or /v1/chat/completions.
+    void serve_model(exchange_id exchange, net::http_request request,
+                     const authenticated_caller& caller, const std::string& request_id);
+    /// Serves a call of a plain service: /v1/services/{service}/{path}.
+    void serve_service(exchange_id exchange, net::http_request request,
+                       const authenticated_caller& caller, const std::string& request_id);
+    void on_caller_disconnected(exchange_id exchange);
 
-    void view_changed();
+    void on_view_changed();
     void set_batch_uses(const std::vector<endpoint_use>& uses);
     void tick(instant now);
     std::size_t open_calls() const { return calls_.size(); }
     boost::json::object dump(instant now) const;
 
 private:
-    struct call {
+    struct call_state {
         exchange_id exchange;
         std::string request_id;
-        caller from;
+        authenticated_caller caller;
         net::http_request request;
-        boost::json::object body; ///< of a model call
+        boost::json::object body; ///< parsed body of a model call
         policy::service_demand demand;
-        bool engine = true;
-        bool streams = false;
+        bool for_engine = true; ///< a call of a model, not of a plain service
+        bool wants_stream = false;
         bool repeatable = true;
-        std::string path; ///< at the endpoint
-        std::string key;
-        bool claimed = false;
-        cassia::fingerprint print;
-        std::uint64_t prefix = 0;
-        instant arrived{};
+        std::string endpoint_path; ///< path to request from the endpoint
+        std::string idempotency_key;
+        bool key_claimed = false;
+        cassia::fingerprint fingerprint;
+        std::uint64_t prefix_hash = 0;
+        instant arrived_at{};
         instant deadline{};
         bool waiting = false;
 
-        // The attempt under way.
+        // The current attempt.
         int attempts = 0;
-        std::set<endpoint_id> failed_at;
+        std::set<endpoint_id> failed_endpoints;
         endpoint_id endpoint;
-        call_id upstream;
+        call_id upstream_call;
         bool running = false;
         bool suspect = false;
-        bool has_output = false; ///< the endpoint began to answer
+        bool has_output = false; ///< the endpoint has sent part of its answer
         instant sent_at{};
-        instant room_asked_at{}; ///< when batch was last asked to make room for it
+        instant slot_requested_at{}; ///< when batch was last asked to free a slot for the call
         microseconds expected_first_token{0};
-        bool beside_batch = false;
-        bool ever_sent = false; ///< some endpoint may have seen the request
-
-        // The answer so far.
-        net::http_head head;
-        std::string answer;
-        event_splitter events;
-        std::vector<std::string> tokens; ///< data of the events so far, over all attempts
+        bool alongside_batch = false;
+        bool possibly_received = false; ///< an endpoint may have received the request
+
+        // The answer received so far.
+        net::http_head response_head;
+        std::string response_body;
+        event_splitter splitter;
+        std::vector<std::string> token_events; ///< data of the events from all attempts
         bool head_sent = false;
         bool first_token_seen = false;
-        bool done_seen = false;
+        bool done_received = false;
     };
 
     // Arrival (online_arrival.cpp).
-    bool read_model_body(call& one);
-    bool read_headers(call& one);
-    bool is_allowed(const call& one) const;
-    void admit(call one);
-    bool within_rate(call& one);
-    void claim(call& one);
-    void on_claimed(exchange_id exchange, const schema::keeper_reply& reply);
-    void enqueue(call& one);
+    bool read_model_body(call_state& call);
+    bool read_headers(call_state& call);
+    bool is_allowed(const call_state& call) const;
+    void admit(call_state admitted);
+    bool check_rate_limit(call_state& call);
+    void claim_key(call_state& call);
+    void on_key_claimed(exchange_id exchange, const schema::keeper_reply& reply);
+    void enqueue(call_state& call);
     double expected_wait_s() const;
-    bool can_make_deadline(const call& one) const;
-    void refuse_early(const call& one, const refusal& refused);
+    bool can_meet_deadline(const call_state& call) const;
+    void refuse_before_admission(const call_state& call, const refusal& refused);
 
-    // Upkeep (online_calls.cpp).
+    // Queue maintenance and termination (online_calls.cpp).
     void refuse(exchange_id exchange, refusal refused);
-    bool withdraw(call& one);
+    bool cancel_call(call_state& call);
     void remove(exchange_id exchange);
-    void refresh_rates();
-    void ask_for_room(instant now);
-    void count_ends(instant now);
+    void refresh_rate_limits();
+    void request_slots_for_delayed_calls(instant now);
+    void update_completion_rate(instant now);
 
     // Dispatch (online_dispatch.cpp).
     bool try_dispatch(exchange_id exchange);
-    void dispatch(call& one, const policy::pick& chosen);
-    std::string upstream_body(const call& one) const;
+    void dispatch(call_state& call, const policy::pick& chosen);
+    std::string upstream_request_body(const call_state& call) const;
     void on_head(exchange_id exchange, const net::http_head& head);
-    void on_piece(exchange_id exchange, std::string_view piece);
-    static bool is_event_stream(const call& one);
-    void take_events(call& one);
+    void on_chunk(exchange_id exchange, std::string_view chunk);
+    static bool is_event_stream(const call_state& call);
+    void forward_events(call_state& call);
     void on_end(exchange_id exchange);
-    void on_failure(exchange_id exchange, const net::http_failure& failed);
-    void decide_after_failure(exchange_id exchange, const net::http_failure& failed, bool died);
-    void end_attempt(call& one, policy::call_result result);
-    void blame_death(const endpoint_id& endpoint);
-    void retry(call& one, const std::string& reason);
+    void on_failure(exchange_id exchange, const net::http_failure& failure);
+    void handle_failure(exchange_id exchange, const net::http_failure& failure, bool crashed);
+    void end_attempt(call_state& call, policy::call_result result);
+    void record_crash(const endpoint_id& endpoint);
+    void retry(call_state& call, const std::string& reason);
 
     // Answers (online_answers.cpp).
-    void note_first_token(call& one);
-    std::string whole_stream(const call& one) const;
-    void finish(call& one);
-    void deliver(call& one);
-    void store_answer(const call& one);
-    schema::keeper_request finish_request(const call& one) const;
-    void release_key(const call& one, bool outcome_unknown);
-    void explain(decision_kind kind, const call& one, const std::string& object,
-                 const std::string& reason);
-
-    void publish_batch_offers();
-    void offer_waiting();
+    void record_first_token(call_state& call);
+    std::string full_stream(const call_state& call) const;
+    void finish(call_state& call);
+    void respond(call_state& call);
+    void store_answer(const call_state& call);
+    schema::keeper_request make_key_finish_request(const call_state& call) const;
+    void release_key(const call_state& call, bool outcome_unknown);
+    void record_decision(decision_kind kind, const call_state& call, const std::string& object,
+                         const std::string& reason);
+
+    void publish_batch_capacities();
+    void dispatch_waiting();
     void report_uses();
-    call* find(exchange_id exchange);
-    group_id key_group(const call& one) const;
+    call_state* find(exchange_id exchange);
+    group_id key_group(const call_state& call) const;
 
-    front_context& context_;
-    std::function<void(batch_offers)> on_batch_offers_;
+    http_context& context_;
+    std::function<void(batch_capacities)> on_batch_capacities_;
     net::http_client client_;
     policy::router router_;
     policy::waiting_room waiting_;
-    policy::retry_budget retries_;
+    policy::retry_budget retry_budget_;
     crash_tracker crash_tracker_;
-    std::map<team_id, policy::rate_limiter> rates_;
-    std::map<endpoint_id, policy::batch_slots> slots_;
+    std::map<team_id, policy::rate_limiter> rate_limiters_;
+    std::map<endpoint_id, policy::batch_slots> batch_slots_;
     std::map<endpoint_id, endpoint_use> batch_uses_;
-    std::map<exchange_id, call> calls_;
-    double ends_per_second_ = 0;
-    std::uint64_t ends_ = 0;
-    instant ends_counted_at_{};
-    instant offered_at_{};
+    std::map<exchange_id, call_state> calls_;
+    double completions_per_second_ = 0; ///< smoothed
+    std::uint64_t completions_ = 0;     ///< attempts ended since the rate was last updated
+    instant completion_rate_updated_at_{};
+    instant capacities_published_at_{};
 };
 
 } // namespace cassia::entry
--- a/include/cassia/entry/operator_api.h
+++ b/include/cassia/entry/operator_api.h
@@ -1,4 +1,4 @@
-/// What operators reach through any entry: /v1/operator/.
+/// The HTTP interface for operators, which any entry serves: /v1/operator/.
 #pragma once
 
 #include "cassia/entry/http_task.h"
@@ -10,7 +10,7 @@
 
 class operator_api {
 public:
-    operator_api(front_context& context, std::function<void()> drain)
+    operator_api(http_context& context, std::function<void()> drain)
         : context_(context), drain_(std::move(drain)) {}
 
     void serve(exchange_id exchange, const net::http_request& request,
@@ -23,7 +23,7 @@
     void explain(exchange_id exchange, const std::string& subject);
     void status(exchange_id exchange);
 
-    front_context& context_;
+    http_context& context_;
     std::function<void()> drain_;
 };
 
--- a/include/cassia/entry/refusal.h
+++ b/include/cassia/entry/refusal.h
@@ -1,4 +1,4 @@
-/// Refusals and failures as callers get them.
+/// Errors returned to callers.
 #pragma once
 
 #include "cassia/base/clock.h"
@@ -8,7 +8,7 @@
 
 namespace cassia::entry {
 
-/// Whether the request was run. `no` is a promise: no endpoint was ever sent it.
+/// Whether the request was executed. `no` guarantees that no endpoint received it.
 enum class run_state { no, maybe, yes };
 
 enum class refusal_code {
@@ -37,19 +37,19 @@
     refusal_code code = refusal_code::bad_request;
     std::string message;
     run_state run = run_state::no;
-    milliseconds retry_after{0}; ///< zero: trying again makes no sense
+    milliseconds retry_after{0}; ///< zero: a retry would not help
 };
 
-/// What callers are told to wait where nothing better is known.
-inline constexpr milliseconds come_back_soon(1000);
+/// Used for `retry_after` where no better estimate is available.
+inline constexpr milliseconds default_retry_after(1000);
 
-int status_of(refusal_code code);
-const char* code_name(refusal_code code);
-const char* run_name(run_state run);
+int http_status_of(refusal_code code);
+const char* refusal_code_name(refusal_code code);
+const char* run_state_name(run_state run);
 
-net::http_response to_response(const refusal& refused, const std::string& request_id);
+net::http_response to_http_response(const refusal& refused, const std::string& request_id);
 
-/// The same as one event of a stream that has already begun.
-std::string to_event(const refusal& refused, const std::string& request_id);
+/// The refusal as a server-sent event, for a stream that has already begun.
+std::string to_sse_event(const refusal& refused, const std::string& request_id);
 
 } // namespace cassia::entry
--- a/include/cassia/entry/request_text.h
+++ b/include/cassia/entry/request_text.h
@@ -1,4 +1,5 @@
-/// Reading request bodies: canonical JSON, fingerprints, server-sent events, RFC 3339 times.
+/// Parsing and formatting of request and response text: JSON, server-sent events, RFC 3339 times,
+/// UTF-8 and percent-encoding.
 #pragma once
 
 #include "cassia/base/clock.h"
@@ -13,46 +14,47 @@
 
 namespace cassia::entry {
 
-/// The JSON value, or what is wrong with the text. Nesting is bounded.
+/// Either the parsed value or an error message.
 struct json_parse_result {
     std::optional<boost::json::value> value;
     std::string error;
 };
+/// Parses JSON text with a limited nesting depth.
 json_parse_result parse_json(std::string_view text);
 
-/// JSON without regard to member order and white space.
-std::string canonical(const boost::json::value& value);
+/// Serializes JSON so that values which differ only in member order or white space give the same
+/// text. The result is for comparing and hashing; it is not valid JSON.
+std::string canonical_json(const boost::json::value& value);
 
-/// Canonical form of a body: JSON where it is JSON, else the bytes themselves.
+/// The canonical form of a JSON body; any other body unchanged.
 std::string canonical_body(std::string_view body);
 
-/// Splits server-sent events, which arrive cut anywhere.
+/// Splits a stream, received in chunks of any size, into server-sent events.
 class event_splitter {
 public:
-    void add(std::string_view piece) { buffer_.append(piece); }
-    /// The next whole event with the blank line that ends it, or nothing.
+    void add(std::string_view chunk) { buffer_.append(chunk); }
+    /// The next complete event, including the blank line that ends it, or nothing.
     std::optional<std::string> next();
 
 private:
     std::string buffer_;
 };
 
-/// The data of an event, without "data: " and line ends.
+/// The data of an event, without the field name and line ends.
 std::string_view event_data(std::string_view event);
-inline bool is_done(std::string_view event) {
+inline bool is_done_event(std::string_view event) {
     return event_data(event) == "[DONE]";
 }
 
-/// The answer in one piece that an engine's stream of events amounts to.
-/// \param events data of the events, without the last, [DONE].
-std::string assemble_answer(const std::vector<std::string>& events, bool chat);
+/// Assembles the events of an engine's stream into the equivalent non-streaming response.
+/// \param events data of the events, without the final [DONE].
+std::string assemble_completion(const std::vector<std::string>& events, bool chat);
 
-/// Unix time of an RFC 3339 text.
-std::optional<wall_time> parse_time(const std::string& text);
-std::string format_time(wall_time time);
+/// The time that an RFC 3339 text denotes, or nothing if it is invalid.
+std::optional<wall_time> parse_rfc3339_time(const std::string& text);
+std::string format_rfc3339_time(wall_time time);
 
-/// Whether the bytes are UTF-8.
-bool is_text(const std::string& bytes);
+bool is_valid_utf8(const std::string& bytes);
 
 /// Percent-encodes a path, keeping its slashes.
 std::string escape_path(const std::string& path);
--- a/include/cassia/entry/service.h
+++ b/include/cassia/entry/service.h
@@ -1,4 +1,4 @@
-/// An entry: its three tasks, wired together.
+/// An entry process: creates its three tasks and connects them.
 #pragma once
 
 #include "cassia/entry/batch_task.h"
@@ -14,14 +14,14 @@
 public:
     explicit service(const schema::entry_settings& settings);
 
-    /// Opens the sockets. \returns an empty string or what went wrong.
+    /// Opens the sockets. \returns an empty string or an error message.
     std::string open();
     /// Serves until drained.
     void run();
 
 private:
     control_task control_;
-    front_task front_;
+    http_task http_;
     batch_task batch_;
 };
 
--- a/lib/entry/announce_api.cpp
+++ b/lib/entry/announce_api.cpp
@@ -12,33 +12,33 @@
 
 namespace {
 constexpr std::uint32_t announce_interval_ms = 1000;
-constexpr std::uint64_t most_slots = 1000000;
+constexpr std::uint64_t max_slots = 1000000;
 
-/// Reads members of an announcement and keeps the first fault.
+/// Reads members of an announcement and records the first error.
 class announcement_reader {
 public:
     explicit announcement_reader(const boost::json::object& body) : body_(body) {}
 
-    std::string text(const char* name, bool mandatory) {
+    std::string text(const char* name, bool required) {
         const boost::json::value* member = body_.if_contains(name);
         if (member != nullptr && member->is_string())
             return std::string(member->as_string());
-        if (mandatory || member != nullptr)
-            fault(name, "expected a string");
+        if (required || member != nullptr)
+            set_error(name, "expected a string");
         return "";
     }
-    std::uint64_t number(const char* name, std::uint64_t most) {
+    std::uint64_t number(const char* name, std::uint64_t max) {
         const boost::json::value* member = body_.if_contains(name);
         if (member == nullptr)
             return 0;
-        const bool fits = member->is_int64() && member->as_int64() >= 0 &&
-                          static_cast<std::uint64_t>(member->as_int64()) <= most;
-        const bool large = member->is_uint64() && member->as_uint64() <= most;
-        if (fits)
+        const bool signed_in_range = member->is_int64() && member->as_int64() >= 0 &&
+                                     static_cast<std::uint64_t>(member->as_int64()) <= max;
+        const bool unsigned_in_range = member->is_uint64() && member->as_uint64() <= max;
+        if (signed_in_range)
             return static_cast<std::uint64_t>(member->as_int64());
-        if (large)
+        if (unsigned_in_range)
             return member->as_uint64();
-        fault(name, "expected a whole number of at least 0");
+        set_error(name, "expected a whole number of at least 0");
         return 0;
     }
     bool flag(const char* name) {
@@ -46,36 +46,37 @@
         if (member == nullptr)
             return false;
         if (!member->is_bool())
-            fault(name, "expected true or false");
+            set_error(name, "expected true or false");
         return member->is_bool() && member->as_bool();
     }
     const boost::json::value* member(const char* name) const { return body_.if_contains(name); }
-    void fault(const std::string& name, const std::string& expected) {
-        if (problem_.empty())
-            problem_ = name + ": " + expected;
+    void set_error(const std::string& name, const std::string& expected) {
+        if (error_.empty())
+            error_ = name + ": " + expected;
     }
-    const std::string& problem() const { return problem_; }
+    const std::string& error() const { return error_; }
 
 private:
     const boost::json::object& body_;
-    std::string problem_;
+    std::string error_;
 };
 } // namespace
 
-static void read_names(const boost::json::object& in, const char* name, announcement_reader& reader,
-                       google::protobuf::RepeatedPtrField<std::string>& out) {
-    const boost::json::value* list = in.if_contains(name);
+static void read_names(const boost::json::object& model, const char* name,
+                       announcement_reader& reader,
+                       google::protobuf::RepeatedPtrField<std::string>& names) {
+    const boost::json::value* list = model.if_contains(name);
     if (list == nullptr)
         return;
     if (!list->is_array()) {
-        reader.fault(std::string("models.") + name, "expected an array of strings");
+        reader.set_error(std::string("models.") + name, "expected an array of strings");
         return;
     }
-    for (const boost::json::value& one : list->as_array()) {
-        if (one.is_string())
-            *out.Add() = std::string(one.as_string());
+    for (const boost::json::value& element : list->as_array()) {
+        if (element.is_string())
+            *names.Add() = std::string(element.as_string());
         else
-            reader.fault(std::string("models.") + name, "expected an array of strings");
+            reader.set_error(std::string("models.") + name, "expected an array of strings");
     }
 }
 
@@ -84,20 +85,20 @@
     if (models == nullptr)
         return;
     if (!models->is_array()) {
-        reader.fault("models", "expected an array");
+        reader.set_error("models", "expected an array");
         return;
     }
-    for (const boost::json::value& one : models->as_array()) {
+    for (const boost::json::value& element : models->as_array()) {
         const boost::json::value* name =
-            one.is_object() ? one.as_object().if_contains("model") : nullptr;
+            element.is_object() ? element.as_object().if_contains("model") : nullptr;
         if (name == nullptr || !name->is_string()) {
-            reader.fault("models", "expected objects with a string 'model'");
+            reader.set_error("models", "expected objects with a string 'model'");
             return;
         }
         schema::endpoint_model* model = record.add_models();
         model->set_model(std::string(name->as_string()));
-        read_names(one.as_object(), "versions", reader, *model->mutable_versions());
-        read_names(one.as_object(), "adapters", reader, *model->mutable_adapters());
+        read_names(element.as_object(), "versions", reader, *model->mutable_versions());
+        read_names(element.as_object(), "adapters", reader, *model->mutable_adapters());
     }
 }
 
@@ -111,31 +112,33 @@
     record.set_service(reader.text("service", false));
     const std::string kind = reader.text("kind", true);
     if (kind != "engine" && kind != "plain")
-        reader.fault("kind", "expected engine or plain");
+        reader.set_error("kind", "expected engine or plain");
     record.set_engine(kind == "engine");
-    record.set_max_running(static_cast<std::uint32_t>(reader.number("max_running", most_slots)));
+    record.set_max_running(static_cast<std::uint32_t>(reader.number("max_running", max_slots)));
     const std::string state = reader.text("state", false);
     if (!state.empty() && state != "serving" && state != "leaving")
-        reader.fault("state", "expected serving or leaving");
+        reader.set_error("state", "expected serving or leaving");
     record.set_leaving(state == "leaving");
     record.set_checks_fence(reader.flag("checks_fence"));
     read_models(reader, record);
     if (const boost::json::value* load = reader.member("load")) {
         if (load->is_object()) {
-            announcement_reader loads(load->as_object());
-            schema::endpoint_load* out = record.mutable_load();
-            out->set_running(static_cast<std::uint32_t>(loads.number("running", most_slots)));
-            out->set_waiting(static_cast<std::uint32_t>(loads.number("waiting", most_slots)));
-            out->set_kv_used(loads.number("kv_used", UINT64_MAX));
-            out->set_kv_total(loads.number("kv_total", UINT64_MAX));
-            if (!loads.problem().empty())
-                reader.fault("load." + loads.problem(), "");
+            announcement_reader load_reader(load->as_object());
+            schema::endpoint_load* endpoint_load = record.mutable_load();
+            endpoint_load->set_running(
+                static_cast<std::uint32_t>(load_reader.number("running", max_slots)));
+            endpoint_load->set_waiting(
+                static_cast<std::uint32_t>(load_reader.number("waiting", max_slots)));
+            endpoint_load->set_kv_used(load_reader.number("kv_used", UINT64_MAX));
+            endpoint_load->set_kv_total(load_reader.number("kv_total", UINT64_MAX));
+            if (!load_reader.error().empty())
+                reader.set_error("load." + load_reader.error(), "");
         } else {
-            reader.fault("load", "expected an object");
+            reader.set_error("load", "expected an object");
         }
     }
     if (!net::parse_address(record.address()))
-        reader.fault("address", "expected IP:PORT");
+        reader.set_error("address", "expected IP:PORT");
     return record;
 }
 
@@ -154,14 +157,14 @@
     }
     announcement_reader reader(parsed.value->as_object());
     schema::endpoint_record record = read_announcement(parsed.value->as_object(), reader);
-    if (!reader.problem().empty()) {
-        context_.refuse(exchange, {refusal_code::bad_request, reader.problem()}, request_id);
+    if (!reader.error().empty()) {
+        context_.refuse(exchange, {refusal_code::bad_request, reader.error()}, request_id);
         return;
     }
     context_.control.record_announcement(std::move(record));
     boost::json::array entries;
-    for (const listed_entry& one : context_.view->entries)
-        entries.push_back({{"address", one.address}, {"zone", one.zone.str()}, {"weight", 1}});
+    for (const listed_entry& entry : context_.view->entries)
+        entries.push_back({{"address", entry.address}, {"zone", entry.zone.str()}, {"weight", 1}});
     net::http_response response;
     response.body = boost::json::serialize(
         boost::json::object{{"interval", announce_interval_ms}, {"entries", std::move(entries)}});
--- a/lib/entry/batch_items.cpp
+++ b/lib/entry/batch_items.cpp
@@ -1,4 +1,4 @@
-// How batch items run: placed in free slots, stopped for online calls, resumed later.
+// Running batch items: placement in free slots, preemption by online calls, resumption and retries.
 
 #include "cassia/entry/batch_task.h"
 
@@ -14,23 +14,25 @@
 namespace cassia::entry {
 
 namespace {
-// An entry that hears nothing from a group's leader may have missed a cancellation; it starts no
-// item of that group. The leader's answer to the canceller waits longer than this.
-constexpr milliseconds leader_silence(3000);
-// Doubled with each failure in a row: an endpoint is back some seconds after a crash.
-constexpr milliseconds first_pause(1000);
-constexpr milliseconds longest_pause(8000);
-constexpr int first_server_error = 500;
+// An entry that has not heard from a group's leader for this long may have missed a cancellation,
+// so it starts no items of that group. A leader waits longer than this for entries to confirm a
+// cancellation before it answers.
+constexpr milliseconds leader_timeout(3000);
+// The pause doubles with each consecutive failure. An endpoint restarts within seconds of a crash.
+constexpr milliseconds initial_pause(1000);
+constexpr milliseconds max_pause(8000);
+constexpr int min_server_error_status = 500;
 constexpr int quarantined_status = 422;
 constexpr int bad_gateway_status = 502;
-constexpr std::string_view services_path = "/v1/services/";
+constexpr std::string_view services_prefix = "/v1/services/";
 } // namespace
 
-bool batch_task::may_start(const item& one, instant now) const {
-    const job_id job(one.lease.job());
+bool batch_task::has_leader_contact(const batch_item& item, instant now) const {
+    const job_id job(item.lease.job());
     const group_id group = state::group_of_job(job, settings_.cluster().work_groups());
-    auto contact = view_->leader_last_heard.find(group);
-    return contact != view_->leader_last_heard.end() && now - contact->second < leader_silence;
+    auto last_heard = view_->leader_last_heard.find(group);
+    return last_heard != view_->leader_last_heard.end() &&
+           now - last_heard->second < leader_timeout;
 }
 
 static policy::service_demand demand_of(const schema::item_body& body, const service_id& service) {
@@ -39,166 +41,171 @@
     if (!parsed.value || !parsed.value->is_object())
         return demand;
     const boost::json::object& object = parsed.value->as_object();
-    const auto text = [&object](const char* name) {
+    const auto string_member = [&object](const char* name) {
         const boost::json::value* member = object.if_contains(name);
         return member != nullptr && member->is_string() ? std::string(member->as_string())
                                                         : std::string();
     };
-    demand.version = text("version");
-    demand.adapter = text("adapter");
+    demand.version = string_member("version");
+    demand.adapter = string_member("adapter");
     return demand;
 }
 
 void batch_task::place_items() {
     const instant now = monotonic_now();
     for (const policy::endpoint_facts& facts : view_->endpoints) {
-        auto found = seats_.find(facts.id);
-        if (found == seats_.end() || now < found->second.paused_until)
+        auto found = endpoints_.find(facts.id);
+        if (found == endpoints_.end() || now < found->second.paused_until)
             continue;
-        seat& at = found->second;
-        for (std::pair<const service_id, std::deque<item_id>>& queue : ready_) {
-            std::size_t passed_by = 0;
-            while (at.running.size() < at.offer.slots && passed_by < queue.second.size()) {
-                const item_id id = queue.second[passed_by];
-                auto one = items_.find(id);
-                if (one == items_.end()) {
-                    queue.second.erase(queue.second.begin() +
-                                       static_cast<std::ptrdiff_t>(passed_by));
+        endpoint_state& state = found->second;
+        for (std::pair<const service_id, std::deque<item_id>>& queue : queues_) {
+            std::size_t skipped = 0;
+            while (state.running.size() < state.capacity.slots && skipped < queue.second.size()) {
+                const item_id id = queue.second[skipped];
+                auto found_item = items_.find(id);
+                if (found_item == items_.end()) {
+                    queue.second.erase(queue.second.begin() + static_cast<std::ptrdiff_t>(skipped));
                     continue;
                 }
-                item& candidate = one->second;
-                candidate.suspect = crash_tracker_.is_suspect(candidate.print);
-                const bool other_suspect =
-                    at.offer.suspect_running ||
-                    std::any_of(at.running.begin(), at.running.end(),
+                batch_item& candidate = found_item->second;
+                candidate.suspect = crash_tracker_.is_suspect(candidate.fingerprint);
+                const bool other_suspect_running =
+                    state.capacity.suspect_running ||
+                    std::any_of(state.running.begin(), state.running.end(),
                                 [this](const item_id& other) { return items_.at(other).suspect; });
                 const bool fits =
                     policy::serves(facts, demand_of(candidate.lease.item(), queue.first)) &&
-                    candidate.failed_at.count(facts.id) == 0 &&
-                    !(candidate.suspect && other_suspect) && may_start(candidate, now);
+                    candidate.failed_endpoints.count(facts.id) == 0 &&
+                    !(candidate.suspect && other_suspect_running) &&
+                    has_leader_contact(candidate, now);
                 if (!fits) {
-                    ++passed_by;
+                    ++skipped;
                     continue;
                 }
-                queue.second.erase(queue.second.begin() + static_cast<std::ptrdiff_t>(passed_by));
+                queue.second.erase(queue.second.begin() + static_cast<std::ptrdiff_t>(skipped));
                 start_item(id, facts);
             }
         }
     }
 }
 
-// Streams are asked for even though the result is stored whole: a stream that is stopped for an
-// online call leaves its tokens here and goes on behind them.
-std::string batch_task::upstream_body(const item& one) const {
-    if (!one.engine)
-        return one.lease.item().body();
-    const json_parse_result parsed = parse_json(one.lease.item().body());
+// Requests a stream even though the result is stored as a whole: an item that is stopped for an
+// online call keeps the tokens received so far, and its next run resumes after them.
+std::string batch_task::upstream_request_body(const batch_item& item) const {
+    if (!item.for_engine)
+        return item.lease.item().body();
+    const json_parse_result parsed = parse_json(item.lease.item().body());
     boost::json::object body = parsed.value->as_object();
     body["stream"] = true;
-    if (!one.tokens.empty())
-        body["resume_from"] = one.tokens.size();
+    if (!item.token_events.empty())
+        body["resume_from"] = item.token_events.size();
     return boost::json::serialize(body);
 }
 
 void batch_task::start_item(const item_id& id, const policy::endpoint_facts& facts) {
-    item& one = items_.at(id);
-    const schema::item_body& body = one.lease.item();
-    one.running = true;
-    one.endpoint = facts.id;
-    one.head = net::http_head();
-    one.answer.clear();
-    one.events = event_splitter();
-    one.done_seen = false;
-    one.has_output = false;
-    ++one.runs;
-    one.request_id = id.first.str() + "/" + std::to_string(id.second) + "/" +
-                     std::to_string(one.lease.attempt());
-    net::http_call out;
-    out.method = "POST";
-    out.to = facts.address;
-    if (one.engine) {
-        out.path = body.url();
+    batch_item& item = items_.at(id);
+    const schema::item_body& body = item.lease.item();
+    item.running = true;
+    item.endpoint = facts.id;
+    item.response_head = net::http_head();
+    item.response_body.clear();
+    item.splitter = event_splitter();
+    item.done_received = false;
+    item.has_output = false;
+    ++item.runs;
+    item.request_id = id.first.str() + "/" + std::to_string(id.second) + "/" +
+                      std::to_string(item.lease.attempt());
+    net::http_call request;
+    request.method = "POST";
+    request.to = facts.address;
+    if (item.for_engine) {
+        request.path = body.url();
     } else {
-        const std::string rest = body.url().substr(services_path.size());
-        const std::size_t slash = rest.find('/');
-        out.path = escape_path(slash == std::string::npos ? "/" : rest.substr(slash));
+        const std::string service_and_path = body.url().substr(services_prefix.size());
+        const std::size_t slash = service_and_path.find('/');
+        request.path =
+            escape_path(slash == std::string::npos ? "/" : service_and_path.substr(slash));
     }
-    out.headers["Cassia-Request-Id"] = one.request_id;
-    out.headers["Cassia-Attempt"] = std::to_string(one.runs);
-    out.body = upstream_body(one);
-    out.fresh_connection = !body.repeatable() || !one.failed_at.empty();
-    out.progress_timeout = milliseconds(settings_.progress_timeout_ms());
+    request.headers["Cassia-Request-Id"] = item.request_id;
+    request.headers["Cassia-Attempt"] = std::to_string(item.runs);
+    request.body = upstream_request_body(item);
+    request.fresh_connection = !body.repeatable() || !item.failed_endpoints.empty();
+    request.progress_timeout = milliseconds(settings_.progress_timeout_ms());
     net::http_call_hooks hooks;
-    hooks.on_head = [this, id](const net::http_head& head) { items_.at(id).head = head; };
-    hooks.on_piece = [this, id](std::string_view piece) { on_piece(id, piece); };
+    hooks.on_head = [this, id](const net::http_head& head) { items_.at(id).response_head = head; };
+    hooks.on_piece = [this, id](std::string_view chunk) { on_chunk(id, chunk); };
     hooks.on_end = [this, id] { on_end(id); };
-    hooks.on_failure = [this, id](const net::http_failure& failed) { on_failure(id, failed); };
-    one.upstream = client_.start(out, std::move(hooks));
-    seats_.at(facts.id).running.push_back(id);
+    hooks.on_failure = [this, id](const net::http_failure& failure) { on_failure(id, failure); };
+    item.upstream_call = client_.start(request, std::move(hooks));
+    endpoints_.at(facts.id).running.push_back(id);
     uses_changed_ = true;
     metrics_.count("items_started");
 }
 
-void batch_task::on_piece(const item_id& id, std::string_view piece) {
-    item& one = items_.at(id);
-    if (!one.engine || one.head.status != 200) {
-        one.answer.append(piece);
+void batch_task::on_chunk(const item_id& id, std::string_view chunk) {
+    batch_item& item = items_.at(id);
+    if (!item.for_engine || item.response_head.status != 200) {
+        item.response_body.append(chunk);
         return;
     }
-    one.events.add(piece);
-    while (std::optional<std::string> event = one.events.next()) {
-        if (is_done(*event))
-            one.done_seen = true;
+    item.splitter.add(chunk);
+    while (std::optional<std::string> event = item.splitter.next()) {
+        if (is_done_event(*event))
+            item.done_received = true;
         else
-            one.tokens.emplace_back(event_data(*event));
-        // What crashes an engine mostly does so before its first token.
-        one.suspect = false;
-        one.has_output = true;
-        seats_.at(one.endpoint).failures = 0;
+            item.token_events.emplace_back(event_data(*event));
+        // A request that crashes an engine usually does so before its first token.
+        item.suspect = false;
+        item.has_output = true;
+        endpoints_.at(item.endpoint).failures = 0;
     }
 }
 
-void batch_task::stop_run(item& one) {
-    if (!one.running)
+void batch_task::stop_run(batch_item& item) {
+    if (!item.running)
         return;
-    client_.cancel(one.upstream);
-    one.running = false;
-    const item_id id{job_id(one.lease.job()), one.lease.ordinal()};
-    auto at = seats_.find(one.endpoint);
-    if (at != seats_.end()) {
-        std::vector<item_id>& running = at->second.running;
+    client_.cancel(item.upstream_call);
+    item.running = false;
+    const item_id id{job_id(item.lease.job()), item.lease.ordinal()};
+    auto found = endpoints_.find(item.endpoint);
+    if (found != endpoints_.end()) {
+        std::vector<item_id>& running = found->second.running;
         running.erase(std::remove(running.begin(), running.end(), id), running.end());
     }
     uses_changed_ = true;
 }
 
-// The newest go first: they have the least to lose. Items that must not run twice are left to end.
-void batch_task::shrink(seat& at, std::uint32_t to, const char* reason) {
-    const std::vector<item_id> running = at.running;
-    for (auto id = running.rbegin(); id != running.rend() && at.running.size() > to; ++id) {
-        item& one = items_.at(*id);
-        if (!one.lease.item().repeatable())
+// Stops the most recently started items first, since they lose the least work. Items that must not
+// run twice are allowed to finish.
+void batch_task::stop_newest(endpoint_state& state, std::uint32_t max_running, const char* reason) {
+    const std::vector<item_id> running = state.running;
+    for (auto id = running.rbegin(); id != running.rend() && state.running.size() > max_running;
+         ++id) {
+        batch_item& item = items_.at(*id);
+        if (!item.lease.item().repeatable())
             continue;
-        stop_run(one);
-        make_ready(*id, true);
+        stop_run(item);
+        enqueue(*id, true);
         metrics_.count(std::string("items_stopped_") + reason);
     }
 }
 
 void batch_task::on_end(const item_id& id) {
-    item& one = items_.at(id);
-    const bool whole = !one.engine || one.head.status != 200 || one.done_seen;
-    if (!whole) {
+    batch_item& item = items_.at(id);
+    const bool complete_response =
+        !item.for_engine || item.response_head.status != 200 || item.done_received;
+    if (!complete_response) {
         on_failure(id,
                    {{net::errc::connection_lost, "the stream ended before its last event"}, true});
         return;
     }
-    const bool again = one.head.status >= first_server_error && one.lease.item().repeatable() &&
-                       one.runs < static_cast<int>(settings_.max_item_attempts());
-    stop_run(one);
-    if (again) {
-        one.failed_at.insert(one.endpoint);
-        make_ready(id, false);
+    const bool retry = item.response_head.status >= min_server_error_status &&
+                       item.lease.item().repeatable() &&
+                       item.runs < static_cast<int>(settings_.max_item_attempts());
+    stop_run(item);
+    if (retry) {
+        item.failed_endpoints.insert(item.endpoint);
+        enqueue(id, false);
         return;
     }
     complete(id);
@@ -206,107 +213,108 @@
     request_leases();
 }
 
-std::string batch_task::assembled_body(const item& one) const {
-    if (!one.engine || one.head.status != 200)
-        return one.answer;
-    return assemble_answer(one.tokens, one.lease.item().url() == "/v1/chat/completions");
+std::string batch_task::result_body(const batch_item& item) const {
+    if (!item.for_engine || item.response_head.status != 200)
+        return item.response_body;
+    return assemble_completion(item.token_events,
+                               item.lease.item().url() == "/v1/chat/completions");
 }
 
 void batch_task::complete(const item_id& id) {
-    const item& one = items_.at(id);
+    const batch_item& item = items_.at(id);
     schema::item_end end;
-    const bool good = one.head.status >= 200 && one.head.status < 300;
-    end.set_status(good ? schema::completed : schema::failed);
-    end.set_http_status(static_cast<std::uint32_t>(one.head.status));
+    const bool success = item.response_head.status >= 200 && item.response_head.status < 300;
+    end.set_status(success ? schema::completed : schema::failed);
+    end.set_http_status(static_cast<std::uint32_t>(item.response_head.status));
     end.set_content_type("application/json");
-    end.set_body(assembled_body(one));
-    end.set_endpoint(one.endpoint.str());
+    end.set_body(result_body(item));
+    end.set_endpoint(item.endpoint.str());
     end_item(id, std::move(end));
 }
 
-void batch_task::on_failure(const item_id& id, const net::http_failure& failed) {
-    if (failed.cause.code != net::errc::connection_lost || !failed.sent) {
-        decide_after_failure(id, failed, false);
+void batch_task::on_failure(const item_id& id, const net::http_failure& failure) {
+    if (failure.cause.code != net::errc::connection_lost || !failure.sent) {
+        handle_failure(id, failure, false);
         return;
     }
     const policy::endpoint_facts* facts = find_endpoint(*view_, items_.at(id).endpoint);
     if (facts == nullptr) {
-        decide_after_failure(id, failed, true);
+        handle_failure(id, failure, true);
         return;
     }
-    crash_tracker_.probe(facts->address, [this, id, failed](bool dead) {
-        auto one = items_.find(id);
-        if (one != items_.end() && one->second.running)
-            decide_after_failure(id, failed, dead);
+    crash_tracker_.probe(facts->address, [this, id, failure](bool crashed) {
+        auto found = items_.find(id);
+        if (found != items_.end() && found->second.running)
+            handle_failure(id, failure, crashed);
     });
 }
 
-void batch_task::pause_seat(seat& at) {
+void batch_task::pause_after_failure(endpoint_state& state) {
     const instant now = monotonic_now();
-    // All that ran there fail together; they are one failure.
-    if (now < at.paused_until)
+    // When an endpoint fails, all items that run there fail together. Count that as one failure.
+    if (now < state.paused_until)
         return;
     const milliseconds pause =
-        std::min(longest_pause, first_pause * (1U << std::min(at.failures, 3U)));
-    ++at.failures;
-    at.paused_until = now + pause;
+        std::min(max_pause, initial_pause * (1U << std::min(state.failures, 3U)));
+    ++state.failures;
+    state.paused_until = now + pause;
 }
 
-void batch_task::blame_death(const endpoint_id& endpoint) {
+void batch_task::record_crash(const endpoint_id& endpoint) {
     std::vector<policy::running_request> running;
-    for (const std::pair<const item_id, item>& one : items_) {
-        if (one.second.running && one.second.endpoint == endpoint)
-            running.push_back({one.second.print, one.second.has_output});
+    for (const std::pair<const item_id, batch_item>& known_item : items_) {
+        if (known_item.second.running && known_item.second.endpoint == endpoint)
+            running.push_back({known_item.second.fingerprint, known_item.second.has_output});
     }
     crash_tracker_.record_crash(endpoint, running);
 }
 
-void batch_task::decide_after_failure(const item_id& id, const net::http_failure& failed,
-                                      bool died) {
-    item& one = items_.at(id);
-    if (died)
-        blame_death(one.endpoint);
-    // A dead endpoint refuses connections at once, and one behind a proxy takes and breaks them.
-    // Tried again at once, an item whose only endpoint here it is used up its runs within some
-    // milliseconds and ended as failed; behind the pause it goes back to its group in time.
-    if (!failed.sent)
-        --one.runs;
-    pause_seat(seats_.at(one.endpoint));
-    one.failed_at.insert(one.endpoint);
-    stop_run(one);
+void batch_task::handle_failure(const item_id& id, const net::http_failure& failure, bool crashed) {
+    batch_item& item = items_.at(id);
+    if (crashed)
+        record_crash(item.endpoint);
+    // A dead endpoint refuses connections immediately; behind a proxy, they are accepted and then
+    // closed. Without a pause, an item that only this endpoint can serve would use up its runs
+    // within milliseconds and end as failed. With the pause it is returned to its group first.
+    if (!failure.sent)
+        --item.runs;
+    pause_after_failure(endpoints_.at(item.endpoint));
+    item.failed_endpoints.insert(item.endpoint);
+    stop_run(item);
     metrics_.count("items_failed_runs");
     schema::item_end end;
     end.set_content_type("application/json");
-    end.set_endpoint(one.endpoint.str());
-    if (crash_tracker_.is_quarantined(one.print)) {
+    end.set_endpoint(item.endpoint.str());
+    if (crash_tracker_.is_quarantined(item.fingerprint)) {
         end.set_status(schema::failed);
         end.set_http_status(quarantined_status);
         end.set_body(R"({"error":{"code":"quarantined","message":"this item crashed endpoints"}})");
         end_item(id, std::move(end));
         return;
     }
-    if (!one.lease.item().repeatable() && failed.sent) {
+    if (!item.lease.item().repeatable() && failure.sent) {
         end.set_status(schema::unknown);
         end.set_http_status(bad_gateway_status);
         end.set_body(R"({"error":{"code":"outcome_unknown","run":"maybe"}})");
         end_item(id, std::move(end));
         return;
     }
-    if (one.runs >= static_cast<int>(settings_.max_item_attempts())) {
+    if (item.runs >= static_cast<int>(settings_.max_item_attempts())) {
         end.set_status(schema::failed);
         end.set_http_status(bad_gateway_status);
         end.set_body(R"({"error":{"code":"endpoint_failed","message":"endpoints failed"}})");
         end_item(id, std::move(end));
         return;
     }
-    // With every endpoint of this entry tried, one of them is better than none.
-    const bool untried = std::any_of(seats_.begin(), seats_.end(),
-                                     [&one](const std::pair<const endpoint_id, seat>& at) {
-                                         return one.failed_at.count(at.first) == 0;
-                                     });
-    if (!untried)
-        one.failed_at.clear();
-    make_ready(id, false);
+    // If all endpoints of this entry have failed the item, allow them again.
+    const bool has_untried_endpoint =
+        std::any_of(endpoints_.begin(), endpoints_.end(),
+                    [&item](const std::pair<const endpoint_id, endpoint_state>& endpoint) {
+                        return item.failed_endpoints.count(endpoint.first) == 0;
+                    });
+    if (!has_untried_endpoint)
+        item.failed_endpoints.clear();
+    enqueue(id, false);
     place_items();
 }
 
--- a/lib/entry/batch_leases.cpp
+++ b/lib/entry/batch_leases.cpp
@@ -1,4 +1,4 @@
-// Leases of batch items from the work groups' leaders, and how items end there.
+// Leasing of batch items from the leaders of the work groups, and reporting of their results.
 
 #include "cassia/entry/batch_task.h"
 
@@ -12,115 +12,121 @@
 namespace cassia::entry {
 
 namespace {
-// The leader takes back what an entry doesn't know of after 5 s; a reply later than this is
-// dropped, so that both never count on the same item.
-constexpr milliseconds lease_patience(3000);
-constexpr milliseconds idle_pause(100);
-constexpr std::size_t most_ends_at_once = 256;
-constexpr milliseconds end_patience(20000);
-constexpr milliseconds longest_wait(1500);
+// After 5 s the leader takes back a leased item that the entry does not report as held. A reply
+// that arrives later than this timeout is ignored, so that the leader and this entry never both
+// count on the same item.
+constexpr milliseconds lease_timeout(3000);
+constexpr milliseconds empty_round_delay(100);
+constexpr std::size_t max_ends_per_request = 256;
+constexpr milliseconds item_end_timeout(20000);
+constexpr milliseconds max_queue_time(1500);
 } // namespace
 
-static cassia::fingerprint print_of(const schema::leased_item& lease) {
+static cassia::fingerprint fingerprint_of(const schema::leased_item& lease) {
     return cassia::fingerprint(sha256_hex(lease.team() + "\nPOST\n" + lease.item().url() + "\n" +
                                           canonical_body(lease.item().body())));
 }
 
-// As many as could run now, and as many again, so that a slot that gets free finds an item ready.
-std::map<service_id, std::uint32_t> batch_task::wanted_items() const {
+// For each service, the number of items to lease: twice what could run now, less those already
+// held, so that an item is available as soon as a slot becomes free.
+std::map<service_id, std::uint32_t> batch_task::items_to_lease() const {
     std::map<service_id, std::uint32_t> wanted;
     const instant now = monotonic_now();
     if (draining_ || view_->stale || items_.size() >= settings_.batch_window())
         return wanted;
     for (const policy::endpoint_facts& facts : view_->endpoints) {
-        auto at = seats_.find(facts.id);
-        const bool free =
-            at != seats_.end() && at->second.offer.slots > 0 && now >= at->second.paused_until;
-        if (!free)
+        auto state = endpoints_.find(facts.id);
+        const bool has_capacity = state != endpoints_.end() && state->second.capacity.slots > 0 &&
+                                  now >= state->second.paused_until;
+        if (!has_capacity)
             continue;
         if (!facts.engine) {
-            wanted[facts.service] += 2 * at->second.offer.slots;
+            wanted[facts.service] += 2 * state->second.capacity.slots;
             continue;
         }
         for (const std::pair<const service_id, policy::served_model>& model : facts.models)
-            wanted[model.first] += 2 * at->second.offer.slots;
+            wanted[model.first] += 2 * state->second.capacity.slots;
     }
     std::map<service_id, std::uint32_t> held;
-    for (const std::pair<const item_id, item>& one : items_)
-        ++held[one.second.service];
-    const std::size_t room = settings_.batch_window() - items_.size();
-    for (auto one = wanted.begin(); one != wanted.end();) {
-        const std::uint32_t have = held[one->first];
-        one->second = one->second > have ? one->second - have : 0;
-        one->second = static_cast<std::uint32_t>(std::min<std::size_t>(one->second, room));
-        one = one->second == 0 ? wanted.erase(one) : std::next(one);
+    for (const std::pair<const item_id, batch_item>& known_item : items_)
+        ++held[known_item.second.service];
+    const std::size_t window_left = settings_.batch_window() - items_.size();
+    for (auto service = wanted.begin(); service != wanted.end();) {
+        const std::uint32_t held_count = held[service->first];
+        service->second = service->second > held_count ? service->second - held_count : 0;
+        service->second =
+            static_cast<std::uint32_t>(std::min<std::size_t>(service->second, window_left));
+        service = service->second == 0 ? wanted.erase(service) : std::next(service);
     }
     return wanted;
 }
 
-// One group at a time, in turn: each holds some of the jobs, and an entry wants few items.
+// Asks one group at a time, in rotation. Each group holds a part of the jobs, and an entry needs
+// only few items.
 void batch_task::request_leases() {
     const instant now = monotonic_now();
     const std::uint32_t groups = settings_.cluster().work_groups();
-    if (!leasing_.empty() || now < next_lease_at_)
+    if (!groups_leasing_.empty() || now < next_lease_at_)
         return;
-    const std::map<service_id, std::uint32_t> wanted = wanted_items();
+    const std::map<service_id, std::uint32_t> wanted = items_to_lease();
     if (wanted.empty())
         return;
-    const group_id group(1 + next_group_++ % groups);
+    const group_id group(1 + next_lease_group_++ % groups);
     schema::keeper_request request;
     request.set_group(static_cast<std::uint32_t>(group.value()));
     request.mutable_lease()->set_holder(control_.holder());
-    for (const std::pair<const service_id, std::uint32_t>& one : wanted) {
+    for (const std::pair<const service_id, std::uint32_t>& service : wanted) {
         schema::lease_want* want = request.mutable_lease()->add_wants();
-        want->set_service(one.first.str());
-        want->set_limit(one.second);
+        want->set_service(service.first.str());
+        want->set_limit(service.second);
     }
-    leasing_.insert(group);
-    // Never resent: a lease whose reply is lost goes back to the leader by what this entry says it
-    // holds, while a resend would lease further items.
-    control_.send_request(std::move(request), request_options{lease_patience, false}, task_,
+    groups_leasing_.insert(group);
+    // Not resent, because a resend would lease additional items. If the reply is lost, the leader
+    // takes the items back because this entry does not report them as held.
+    control_.send_request(std::move(request), request_options{lease_timeout, false}, task_,
                           [this, group, now](const schema::keeper_reply& reply) {
-                              leasing_.erase(group);
-                              on_leased(reply, now);
+                              groups_leasing_.erase(group);
+                              on_lease_reply(reply, now);
                           });
 }
 
-void batch_task::on_leased(const schema::keeper_reply& reply, instant asked_at) {
+void batch_task::on_lease_reply(const schema::keeper_reply& reply, instant requested_at) {
     const instant now = monotonic_now();
-    const bool late = now - asked_at > lease_patience;
-    if (reply.work().leased_size() == 0 || late) {
-        // After a round over all groups without an item, the next waits a little.
-        if (next_group_ % settings_.cluster().work_groups() == 0)
-            next_lease_at_ = now + idle_pause;
+    const bool expired = now - requested_at > lease_timeout;
+    if (reply.work().leased_size() == 0 || expired) {
+        // Wait before the next round if the last group of this round had no items either.
+        if (next_lease_group_ % settings_.cluster().work_groups() == 0)
+            next_lease_at_ = now + empty_round_delay;
         return;
     }
-    std::map<std::string, std::size_t> leased;
+    std::map<std::string, std::size_t> items_per_job;
     for (const schema::leased_item& lease : reply.work().leased()) {
-        ++leased[lease.job()];
+        ++items_per_job[lease.job()];
         const item_id id{job_id(lease.job()), lease.ordinal()};
-        item& one = items_[id];
-        one = item();
-        one.lease = lease;
-        one.service = service_id(lease.item().service());
-        one.print = print_of(lease);
-        one.engine = lease.item().url().compare(0, 13, "/v1/services/") != 0;
-        make_ready(id, false);
+        batch_item& item = items_[id];
+        item = batch_item();
+        item.lease = lease;
+        item.service = service_id(lease.item().service());
+        item.fingerprint = fingerprint_of(lease);
+        item.for_engine = lease.item().url().compare(0, 13, "/v1/services/") != 0;
+        enqueue(id, false);
         metrics_.count("items_leased");
     }
-    // A line a lease and not an item: a large job would push everything else out of the memory.
-    for (const std::pair<const std::string, std::size_t>& job : leased)
-        explain(decision_kind::item_leased, job.first, control_.holder(),
-                std::to_string(job.second) + " items, by fair share and deadline");
+    // One decision for each job, not for each item: the items of a large job would displace all
+    // other decisions from the bounded log.
+    for (const std::pair<const std::string, std::size_t>& job : items_per_job)
+        record_decision(decision_kind::item_leased, job.first, control_.holder(),
+                        std::to_string(job.second) + " items, by fair share and deadline");
     place_items();
     request_leases();
 }
 
-// What this entry holds, so that a leader takes back items whose lease reply got lost.
-void batch_task::tell_held() {
+// Tells each leader which items this entry holds, so that it takes back those whose lease reply was
+// lost.
+void batch_task::report_held_items() {
     std::map<group_id, schema::held_items> by_group;
-    for (const std::pair<const group_id, instant>& leader : view_->leader_last_heard)
-        by_group[leader.first].set_holder(control_.holder());
+    for (const std::pair<const group_id, instant>& contact : view_->leader_last_heard)
+        by_group[contact.first].set_holder(control_.holder());
     const std::uint32_t groups = settings_.cluster().work_groups();
     const auto add = [&by_group, groups](const item_id& id) {
         schema::held_items& held = by_group[state::group_of_job(id.first, groups)];
@@ -129,21 +135,21 @@
             held.add_jobs()->set_job(id.first.str());
         held.mutable_jobs(held.jobs_size() - 1)->add_ordinals(id.second);
     };
-    for (const std::pair<const item_id, item>& one : items_)
-        add(one.first);
-    // Items whose end is on its way are held too.
-    for (const auto& group : ends_) {
+    for (const std::pair<const item_id, batch_item>& known_item : items_)
+        add(known_item.first);
+    // An item is held until its group has confirmed its end.
+    for (const auto& group : unconfirmed_ends_) {
         for (const std::pair<item_id, schema::item_end>& end : group.second)
             add(end.first);
     }
-    for (std::pair<const group_id, schema::held_items>& one : by_group) {
-        auto clock = view_->leader_clocks.find(one.first);
+    for (std::pair<const group_id, schema::held_items>& group : by_group) {
+        auto clock = view_->leader_clocks.find(group.first);
         if (clock == view_->leader_clocks.end())
             continue;
-        one.second.set_keeper_clock_us(clock->second);
+        group.second.set_keeper_clock_us(clock->second);
         schema::keeper_request request;
-        request.set_group(static_cast<std::uint32_t>(one.first.value()));
-        *request.mutable_held() = std::move(one.second);
+        request.set_group(static_cast<std::uint32_t>(group.first.value()));
+        *request.mutable_held() = std::move(group.second);
         control_.send_request(std::move(request), request_options{milliseconds(1), false}, task_,
                               [](const schema::keeper_reply&) {});
     }
@@ -154,58 +160,58 @@
     if (found == items_.end())
         return;
     if (end.status() == schema::failed || end.status() == schema::unknown)
-        explain(decision_kind::item_ended, id.first.str(), end.endpoint(),
-                "item " + std::to_string(id.second) +
-                    (end.status() == schema::failed ? " failed" : " may have run") + ", status " +
-                    std::to_string(end.http_status()));
+        record_decision(decision_kind::item_ended, id.first.str(), end.endpoint(),
+                        "item " + std::to_string(id.second) +
+                            (end.status() == schema::failed ? " failed" : " may have run") +
+                            ", status " + std::to_string(end.http_status()));
     end.set_job(id.first.str());
     end.set_ordinal(id.second);
     end.set_attempt(found->second.lease.attempt());
     const group_id group = state::group_of_job(id.first, settings_.cluster().work_groups());
-    ends_[group].emplace_back(id, std::move(end));
+    unconfirmed_ends_[group].emplace_back(id, std::move(end));
     items_.erase(found);
 }
 
-// Given back unrun: the item waits again, for any entry.
-void batch_task::give_back(const item_id& id) {
+// Returns an item to its group without a result, so that any entry may lease it.
+void batch_task::return_item(const item_id& id) {
     schema::item_end end;
     end.set_status(schema::pending);
     end_item(id, std::move(end));
 }
 
-// An item that finds no slot here goes back to its group, where any entry may take it. Kept, it
-// would wait for as long as this entry lives: the only engine it could run on may be gone for good.
-void batch_task::give_back_stranded() {
+// Returns items that have found no slot here for some time to their groups. Otherwise an item could
+// wait until this entry ends: the only engine here that could run it may be gone permanently.
+void batch_task::return_stranded_items() {
     const instant now = monotonic_now();
     std::vector<item_id> stranded;
-    for (const std::pair<const item_id, item>& one : items_) {
-        if (!one.second.running && now - one.second.ready_since > longest_wait)
-            stranded.push_back(one.first);
+    for (const std::pair<const item_id, batch_item>& known_item : items_) {
+        if (!known_item.second.running && now - known_item.second.queued_since > max_queue_time)
+            stranded.push_back(known_item.first);
     }
     for (const item_id& id : stranded) {
         metrics_.count("items_given_back");
-        give_back(id);
+        return_item(id);
     }
 }
 
-void batch_task::make_ready(const item_id& id, bool first) {
-    item& one = items_.at(id);
-    one.ready_since = monotonic_now();
-    std::deque<item_id>& queue = ready_[one.service];
-    if (first)
+void batch_task::enqueue(const item_id& id, bool at_front) {
+    batch_item& item = items_.at(id);
+    item.queued_since = monotonic_now();
+    std::deque<item_id>& queue = queues_[item.service];
+    if (at_front)
         queue.push_front(id);
     else
         queue.push_back(id);
 }
 
-// Ends are sent until a majority has them, a batch at a time for each group. Sent twice they count
-// once: the lease that they name is gone after the first.
-void batch_task::flush_ends() {
-    for (auto& group : ends_) {
-        if (group.second.empty() || flushing_[group.first])
+// Sends the ends of items to their groups, one request at a time for each group, until a majority
+// has stored them. A duplicate has no effect, because the first one releases the lease it names.
+void batch_task::send_item_ends() {
+    for (auto& group : unconfirmed_ends_) {
+        if (group.second.empty() || sending_ends_[group.first])
             continue;
-        flushing_[group.first] = true;
-        const std::size_t count = std::min(group.second.size(), most_ends_at_once);
+        sending_ends_[group.first] = true;
+        const std::size_t count = std::min(group.second.size(), max_ends_per_request);
         schema::keeper_request request;
         request.set_group(static_cast<std::uint32_t>(group.first.value()));
         schema::items_end* ends = request.mutable_work()->mutable_ends();
@@ -214,16 +220,17 @@
         for (std::size_t i = 0; i < count; ++i)
             *ends->add_ends() = group.second[i].second;
         const group_id id = group.first;
-        control_.send_request(std::move(request), request_options{end_patience, true}, task_,
+        control_.send_request(std::move(request), request_options{item_end_timeout, true}, task_,
                               [this, id, count](const schema::keeper_reply& reply) {
-                                  flushing_[id] = false;
+                                  sending_ends_[id] = false;
                                   if (reply.result() != schema::keeper_reply::done)
                                       return;
-                                  auto& list = ends_[id];
-                                  list.erase(list.begin(),
-                                             list.begin() + static_cast<std::ptrdiff_t>(count));
+                                  auto& unconfirmed = unconfirmed_ends_[id];
+                                  unconfirmed.erase(unconfirmed.begin(),
+                                                    unconfirmed.begin() +
+                                                        static_cast<std::ptrdiff_t>(count));
                                   metrics_.count("items_ended", count);
-                                  flush_ends();
+                                  send_item_ends();
                               });
     }
 }
--- a/lib/entry/http_task.cpp
+++ b/lib/entry/http_task.cpp
@@ -20,29 +20,29 @@
 namespace {
 constexpr milliseconds tick_interval(20);
 constexpr milliseconds drained_check_interval(50);
-constexpr std::size_t decisions_kept = 20000;
+constexpr std::size_t max_kept_decisions = 20000;
 } // namespace
 
-void front_context::refuse(exchange_id exchange, const refusal& refused,
-                           const std::string& request_id) {
-    server->respond(exchange, to_response(refused, request_id));
+void http_context::refuse(exchange_id exchange, const refusal& refused,
+                          const std::string& request_id) {
+    server->respond(exchange, to_http_response(refused, request_id));
 }
 
 static bool starts_with(const std::string& text, std::string_view prefix) {
     return text.compare(0, prefix.size(), prefix) == 0;
 }
 
-front_task::front_task(const schema::entry_settings& settings, control_task& control,
-                       front_hooks hooks)
+http_task::http_task(const schema::entry_settings& settings, control_task& control,
+                     http_task_hooks hooks)
     : settings_(settings), hooks_(std::move(hooks)), task_("front"),
-      decisions_(decisions_kept), context_{settings_,  task_,   control, metrics_,
-                                           decisions_, nullptr, nullptr, false} {
+      decisions_(max_kept_decisions), context_{settings_,  task_,   control, metrics_,
+                                               decisions_, nullptr, nullptr, false} {
     context_.view = std::make_shared<fleet_view>();
 }
 
-front_task::~front_task() = default;
+http_task::~http_task() = default;
 
-std::string front_task::open() {
+std::string http_task::open() {
     net::http_limits limits;
     limits.header_bytes = settings_.max_header_bytes();
     limits.body_bytes = [this](const std::string&, const std::string& path) -> std::size_t {
@@ -52,26 +52,28 @@
     hooks.on_request = [this](exchange_id exchange, net::http_request request) {
         on_request(exchange, std::move(request));
     };
-    hooks.on_gone = [this](exchange_id exchange) { online_->gone(exchange); };
+    hooks.on_gone = [this](exchange_id exchange) { online_->on_caller_disconnected(exchange); };
     hooks.on_refused = [this](int status) {
-        const bool header = status == status_of(refusal_code::header_too_large);
-        const std::string limit =
-            std::to_string(header ? settings_.max_header_bytes() : settings_.max_body_bytes());
-        const refusal refused{header ? refusal_code::header_too_large : refusal_code::too_large,
-                              header ? "headers are over " + limit + " bytes"
-                                     : "the body is over the limit"};
-        return to_response(refused, random_name("r-"));
+        const bool header_too_large = status == http_status_of(refusal_code::header_too_large);
+        const std::string limit = std::to_string(header_too_large ? settings_.max_header_bytes()
+                                                                  : settings_.max_body_bytes());
+        const refusal refused{header_too_large ? refusal_code::header_too_large
+                                               : refusal_code::too_large,
+                              header_too_large ? "headers are over " + limit + " bytes"
+                                               : "the body is over the limit"};
+        return to_http_response(refused, random_name("r-"));
     };
     server_ = std::make_unique<net::http_server>(task_, std::move(limits), std::move(hooks));
     context_.server = server_.get();
-    online_ = std::make_unique<online_calls>(
-        context_, [this](batch_offers offers) { hooks_.on_batch_offers(std::move(offers)); });
+    online_ = std::make_unique<online_calls>(context_, [this](batch_capacities capacities) {
+        hooks_.on_batch_capacities(std::move(capacities));
+    });
     batch_ = std::make_unique<batch_api>(context_);
     operators_ = std::make_unique<operator_api>(context_, [this] { drain(); });
     announcements_ = std::make_unique<announce_api>(context_);
-    const net::result<void> listening = server_->listen(http_address(settings_.http_address()));
-    if (!listening)
-        return listening.error().text;
+    const net::result<void> listen_result = server_->listen(http_address(settings_.http_address()));
+    if (!listen_result)
+        return listen_result.error().text;
     task_.every(tick_interval, [this] {
         online_->tick(monotonic_now());
         if (context_.draining)
@@ -79,34 +81,35 @@
     });
     net::on_signal(task_, SIGTERM, [this] { drain(); });
     net::on_signal(task_, SIGINT, [this] { drain(); });
-    net::on_signal(task_, SIGUSR1, [this] { on_signal_dump(); });
+    net::on_signal(task_, SIGUSR1, [this] { log_state_dump(); });
     return "";
 }
 
-void front_task::run() {
+void http_task::run() {
     task_.run();
 }
 
-void front_task::set_view(fleet_view_ptr view) {
+void http_task::set_view(fleet_view_ptr view) {
     task_.post([this, view = std::move(view)] {
         context_.view = view;
-        online_->view_changed();
+        online_->on_view_changed();
     });
 }
 
-void front_task::set_batch_uses(std::vector<endpoint_use> uses) {
+void http_task::set_batch_uses(std::vector<endpoint_use> uses) {
     task_.post([this, uses = std::move(uses)] { online_->set_batch_uses(uses); });
 }
 
-void front_task::note(decision one) {
-    task_.post([this, one = std::move(one)] {
-        decisions_.add(one.kind, one.subject, one.object, one.reason);
+void http_task::add_decision(decision added) {
+    task_.post([this, added = std::move(added)] {
+        decisions_.add(added.kind, added.subject, added.object, added.reason);
     });
 }
 
-// Callers may use a list of entries for as long as it said. So this entry leaves the list first,
-// serves on until every list that names it has run out, and stops once its requests are done.
-void front_task::drain() {
+// Callers may cache the list of entries for its max_age. This entry therefore first leaves the
+// list, keeps accepting requests until every cached list that names it has expired, and stops when
+// its open requests are done or the drain timeout expires.
+void http_task::drain() {
     task_.post([this] {
         if (context_.draining)
             return;
@@ -118,28 +121,28 @@
     });
 }
 
-void front_task::check_drained() {
-    const microseconds since = monotonic_now() - draining_since_;
-    const bool lists_ran_out = since >= milliseconds(settings_.entries_max_age_ms());
-    if (!lists_ran_out)
+void http_task::check_drained() {
+    const microseconds elapsed = monotonic_now() - draining_since_;
+    const bool lists_expired = elapsed >= milliseconds(settings_.entries_max_age_ms());
+    if (!lists_expired)
         return;
     server_->stop_listening();
     const bool done = server_->open_exchanges() == 0;
-    const bool impatient = since >= milliseconds(settings_.drain_timeout_ms());
-    if (!done && !impatient)
+    const bool timed_out = elapsed >= milliseconds(settings_.drain_timeout_ms());
+    if (!done && !timed_out)
         return;
     log_info("drained").with("cut_off", server_->open_exchanges());
     hooks_.on_drained();
     task_.quit();
 }
 
-void front_task::on_request(exchange_id exchange, net::http_request request) {
+void http_task::on_request(exchange_id exchange, net::http_request request) {
     const std::string request_id = random_name("r-");
     metrics_.count("requests");
     const std::string& path = request.path;
-    // Names travel to the keepers as text; bytes that are none would be dropped on the way there,
-    // and the caller would wait for an answer that can't come.
-    if (!is_text(path) || !is_text(request.header("idempotency-key"))) {
+    // Names are sent to the keepers in protobuf string fields. A message whose string is not valid
+    // UTF-8 would be dropped on the way, and the caller would wait for an answer that never comes.
+    if (!is_valid_utf8(path) || !is_valid_utf8(request.header("idempotency-key"))) {
         context_.refuse(exchange, {refusal_code::bad_request, "path and key must be UTF-8"},
                         request_id);
         return;
@@ -164,58 +167,59 @@
         operators_->serve(exchange, request, request_id);
         return;
     }
-    const bool model = path == "/v1/completions" || path == "/v1/chat/completions";
-    const bool service = starts_with(path, "/v1/services/");
-    const bool batch = path == "/v1/batches" || starts_with(path, "/v1/batches/");
-    if (!model && !service && !batch) {
+    const bool is_model_call = path == "/v1/completions" || path == "/v1/chat/completions";
+    const bool is_service_call = starts_with(path, "/v1/services/");
+    const bool is_batch_request = path == "/v1/batches" || starts_with(path, "/v1/batches/");
+    if (!is_model_call && !is_service_call && !is_batch_request) {
         context_.refuse(exchange, {refusal_code::not_found, "no such path"}, request_id);
         return;
     }
-    const bool lists_ran_out =
+    const bool lists_expired =
         context_.draining &&
         monotonic_now() - draining_since_ >= milliseconds(settings_.entries_max_age_ms());
-    if (lists_ran_out) {
+    if (lists_expired) {
         context_.refuse(
             exchange,
-            {refusal_code::draining, "this entry is leaving", run_state::no, come_back_soon},
+            {refusal_code::draining, "this entry is leaving", run_state::no, default_retry_after},
             request_id);
         return;
     }
-    const std::optional<caller> from = authenticate(exchange, request, request_id);
-    if (!from)
+    const std::optional<authenticated_caller> caller = authenticate(exchange, request, request_id);
+    if (!caller)
         return;
-    if (model)
-        online_->serve_model(exchange, std::move(request), *from, request_id);
-    else if (service)
-        online_->serve_service(exchange, std::move(request), *from, request_id);
+    if (is_model_call)
+        online_->serve_model(exchange, std::move(request), *caller, request_id);
+    else if (is_service_call)
+        online_->serve_service(exchange, std::move(request), *caller, request_id);
     else
-        batch_->serve(exchange, request, *from, request_id);
+        batch_->serve(exchange, request, *caller, request_id);
 }
 
-std::optional<caller> front_task::authenticate(exchange_id exchange,
-                                               const net::http_request& request,
-                                               const std::string& request_id) {
+std::optional<authenticated_caller> http_task::authenticate(exchange_id exchange,
+                                                            const net::http_request& request,
+                                                            const std::string& request_id) {
     if (context_.view->catalog == nullptr) {
-        // Without the lists nobody's key is known; that is this entry's fault and not the caller's.
+        // Without a configuration every key is unknown, so this must not be reported as the
+        // caller's mistake.
         context_.refuse(exchange,
                         {refusal_code::stale, "this entry has no configuration yet", run_state::no,
-                         come_back_soon},
+                         default_retry_after},
                         request_id);
         return std::nullopt;
     }
-    caller from;
-    from.catalog = context_.view->catalog;
-    from.plan = from.catalog->find_by_key(bearer_token(request));
-    if (from.plan != nullptr)
-        return from;
+    authenticated_caller caller;
+    caller.catalog = context_.view->catalog;
+    caller.plan = caller.catalog->find_by_key(bearer_token(request));
+    if (caller.plan != nullptr)
+        return caller;
     context_.refuse(exchange, {refusal_code::unauthorized, "unknown key"}, request_id);
     return std::nullopt;
 }
 
-void front_task::serve_entries(exchange_id exchange, const std::string& request_id) {
+void http_task::serve_entries(exchange_id exchange, const std::string& request_id) {
     boost::json::array entries;
-    for (const listed_entry& one : context_.view->entries)
-        entries.push_back({{"address", one.address}, {"zone", one.zone.str()}, {"weight", 1}});
+    for (const listed_entry& entry : context_.view->entries)
+        entries.push_back({{"address", entry.address}, {"zone", entry.zone.str()}, {"weight", 1}});
     const boost::json::object body = {{"entries", std::move(entries)},
                                       {"max_age", settings_.entries_max_age_ms()},
                                       {"version", context_.view->entries_version}};
@@ -228,7 +232,7 @@
     server_->respond(exchange, response);
 }
 
-void front_task::serve_dump(exchange_id exchange) {
+void http_task::serve_dump(exchange_id exchange) {
     const std::string online = boost::json::serialize(online_->dump(monotonic_now()));
     context_.control.dump(task_, [this, exchange, online](const std::string& control) {
         hooks_.dump_batch([this, exchange, online, control](const std::string& batch) {
@@ -241,14 +245,14 @@
     });
 }
 
-void front_task::serve_metrics(exchange_id exchange) {
+void http_task::serve_metrics(exchange_id exchange) {
     net::http_response response;
     response.content_type = "text/plain; version=0.0.4";
     response.body = metrics_.to_text("cassia_entry_");
     server_->respond(exchange, response);
 }
 
-void front_task::on_signal_dump() {
+void http_task::log_state_dump() {
     const std::string online = boost::json::serialize(online_->dump(monotonic_now()));
     context_.control.dump(task_, [online](const std::string& control) {
         log_info("state_dump").with("control", control).with("online", online);
--- a/lib/entry/keeper_client.cpp
+++ b/lib/entry/keeper_client.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 constexpr milliseconds resend_interval(700);
-constexpr milliseconds pause_after_refusal(60);
+constexpr milliseconds retry_delay(60);
 } // namespace
 
 keeper_client::keeper_client(std::vector<keeper_address> keepers, send_function send)
@@ -18,19 +18,19 @@
 }
 
 void keeper_client::send_request(schema::keeper_request request, request_options options,
-                                 reply_callback done, instant now) {
-    open_request one;
-    one.request = std::move(request);
-    one.options = options;
-    one.done = std::move(done);
-    one.give_up_at = now + options.timeout;
-    one.next_keeper = last_id_;
-    send(one, now);
-    open_[last_id_] = std::move(one);
+                                 reply_callback on_reply, instant now) {
+    open_request open;
+    open.request = std::move(request);
+    open.options = options;
+    open.on_reply = std::move(on_reply);
+    open.expires_at = now + options.timeout;
+    open.next_keeper = last_id_;
+    transmit(open, now);
+    open_[last_id_] = std::move(open);
 }
 
-const keeper_address& keeper_client::target(open_request& one) {
-    auto leader = leaders_.find(group_id(one.request.group()));
+const keeper_address& keeper_client::choose_keeper(open_request& open) {
+    auto leader = leaders_.find(group_id(open.request.group()));
     if (leader != leaders_.end()) {
         auto found =
             std::find_if(keepers_.begin(), keepers_.end(), [&leader](const keeper_address& keeper) {
@@ -39,17 +39,17 @@
         if (found != keepers_.end())
             return *found;
     }
-    return keepers_[one.next_keeper++ % keepers_.size()];
+    return keepers_[open.next_keeper++ % keepers_.size()];
 }
 
-void keeper_client::send(open_request& one, instant now) {
-    one.request.set_id(++last_id_);
-    one.resend_at = one.options.resend ? now + resend_interval : one.give_up_at;
+void keeper_client::transmit(open_request& open, instant now) {
+    open.request.set_id(++last_id_);
+    open.resend_at = open.options.resend ? now + resend_interval : open.expires_at;
     if (keepers_.empty())
         return;
     schema::envelope envelope;
-    *envelope.mutable_request() = one.request;
-    send_(target(one).address, envelope);
+    *envelope.mutable_request() = open.request;
+    send_(choose_keeper(open).address, envelope);
 }
 
 void keeper_client::handle_reply(schema::keeper_reply reply, instant now) {
@@ -58,16 +58,17 @@
         return;
     const group_id group(found->second.request.group());
     if (reply.result() == schema::keeper_reply::done || !found->second.options.resend) {
-        reply_callback done = std::move(found->second.done);
+        reply_callback on_reply = std::move(found->second.on_reply);
         open_.erase(found);
-        done(std::move(reply));
+        on_reply(std::move(reply));
         return;
     }
-    // Not the leader, or it can't answer now: asked again shortly, elsewhere if it names another.
+    // The keeper is not the leader or cannot answer now. Retry after a short delay, at the leader
+    // that it named, if any.
     leaders_.erase(group);
     if (!reply.leader().empty())
         leaders_[group] = reply.leader();
-    found->second.resend_at = now + pause_after_refusal;
+    found->second.resend_at = now + retry_delay;
 }
 
 void keeper_client::set_leader(group_id group, const std::string& node) {
@@ -76,24 +77,24 @@
 
 void keeper_client::tick(instant now) {
     std::vector<open_request> due;
-    for (auto one = open_.begin(); one != open_.end();) {
-        if (now < one->second.resend_at && now < one->second.give_up_at) {
-            ++one;
+    for (auto pending = open_.begin(); pending != open_.end();) {
+        if (now < pending->second.resend_at && now < pending->second.expires_at) {
+            ++pending;
             continue;
         }
-        due.push_back(std::move(one->second));
-        one = open_.erase(one);
+        due.push_back(std::move(pending->second));
+        pending = open_.erase(pending);
     }
-    for (open_request& one : due) {
-        if (now >= one.give_up_at) {
-            schema::keeper_reply lost;
-            lost.set_result(schema::keeper_reply::unavailable);
-            one.done(std::move(lost));
+    for (open_request& pending : due) {
+        if (now >= pending.expires_at) {
+            schema::keeper_reply failure;
+            failure.set_result(schema::keeper_reply::unavailable);
+            pending.on_reply(std::move(failure));
             continue;
         }
-        leaders_.erase(group_id(one.request.group()));
-        send(one, now);
-        open_[last_id_] = std::move(one);
+        leaders_.erase(group_id(pending.request.group()));
+        transmit(pending, now);
+        open_[last_id_] = std::move(pending);
     }
 }
 
--- a/lib/entry/online_arrival.cpp
+++ b/lib/entry/online_arrival.cpp
@@ -1,4 +1,4 @@
-// Arrival of online calls: what is checked before one may wait for an endpoint.
+// Validation and admission of online calls, up to their entry into the queue for an endpoint.
 
 #include "cassia/base/digest.h"
 #include "cassia/entry/online_calls.h"
@@ -13,214 +13,223 @@
 namespace cassia::entry {
 
 namespace {
-constexpr std::size_t longest_key = 255;
-constexpr std::size_t prefix_chars = 256;
-constexpr std::string_view services_path = "/v1/services/";
+constexpr std::size_t max_key_length = 255;
+constexpr std::size_t prompt_prefix_bytes = 256;
+constexpr std::string_view services_prefix = "/v1/services/";
 } // namespace
 
-// A call that isn't in the table yet is refused this way.
-void online_calls::refuse_early(const call& one, const refusal& refused) {
-    explain(decision_kind::refused, one, code_name(refused.code), refused.message);
-    context_.counters.count(std::string("refused_") + code_name(refused.code));
-    context_.refuse(one.exchange, refused, one.request_id);
+// Refuses a call that has not been added to `calls_` yet.
+void online_calls::refuse_before_admission(const call_state& call, const refusal& refused) {
+    record_decision(decision_kind::refused, call, refusal_code_name(refused.code), refused.message);
+    context_.counters.count(std::string("refused_") + refusal_code_name(refused.code));
+    context_.refuse(call.exchange, refused, call.request_id);
 }
 
-void online_calls::serve_model(exchange_id exchange, net::http_request request, const caller& from,
-                               const std::string& request_id) {
-    call one;
-    one.exchange = exchange;
-    one.request_id = request_id;
-    one.from = from;
-    one.path = request.path;
-    one.request = std::move(request);
-    if (read_model_body(one) && read_headers(one))
-        admit(std::move(one));
+void online_calls::serve_model(exchange_id exchange, net::http_request request,
+                               const authenticated_caller& caller, const std::string& request_id) {
+    call_state call;
+    call.exchange = exchange;
+    call.request_id = request_id;
+    call.caller = caller;
+    call.endpoint_path = request.path;
+    call.request = std::move(request);
+    if (read_model_body(call) && read_headers(call))
+        admit(std::move(call));
 }
 
 void online_calls::serve_service(exchange_id exchange, net::http_request request,
-                                 const caller& from, const std::string& request_id) {
-    call one;
-    one.exchange = exchange;
-    one.request_id = request_id;
-    one.from = from;
-    one.engine = false;
-    const std::string rest = request.path.substr(services_path.size());
-    const std::size_t slash = rest.find('/');
-    one.demand.service = service_id(rest.substr(0, slash));
-    one.path = slash == std::string::npos ? "/" : rest.substr(slash);
-    one.repeatable = from.catalog->is_repeatable(one.demand.service, request.method);
-    one.request = std::move(request);
-    if (read_headers(one))
-        admit(std::move(one));
+                                 const authenticated_caller& caller,
+                                 const std::string& request_id) {
+    call_state call;
+    call.exchange = exchange;
+    call.request_id = request_id;
+    call.caller = caller;
+    call.for_engine = false;
+    const std::string service_and_path = request.path.substr(services_prefix.size());
+    const std::size_t slash = service_and_path.find('/');
+    call.demand.service = service_id(service_and_path.substr(0, slash));
+    call.endpoint_path = slash == std::string::npos ? "/" : service_and_path.substr(slash);
+    call.repeatable = caller.catalog->is_repeatable(call.demand.service, request.method);
+    call.request = std::move(request);
+    if (read_headers(call))
+        admit(std::move(call));
 }
 
-static std::string text_member(const boost::json::object& body, const char* name) {
+static std::string string_member(const boost::json::object& body, const char* name) {
     const boost::json::value* member = body.if_contains(name);
     if (member == nullptr || !member->is_string())
         return "";
     return std::string(member->as_string());
 }
 
-static std::uint64_t prefix_hash(const boost::json::object& body) {
-    std::string text = text_member(body, "prompt");
+static std::uint64_t hash_prompt_prefix(const boost::json::object& body) {
+    std::string prompt = string_member(body, "prompt");
     if (const boost::json::value* messages = body.if_contains("messages"))
-        text = boost::json::serialize(*messages);
-    return text.empty() ? 0 : stable_hash(std::string_view(text).substr(0, prefix_chars));
+        prompt = boost::json::serialize(*messages);
+    return prompt.empty() ? 0
+                          : stable_hash(std::string_view(prompt).substr(0, prompt_prefix_bytes));
 }
 
-bool online_calls::read_model_body(call& one) {
-    if (one.request.method != "POST") {
-        refuse_early(one, {refusal_code::bad_method, "expected POST"});
+bool online_calls::read_model_body(call_state& call) {
+    if (call.request.method != "POST") {
+        refuse_before_admission(call, {refusal_code::bad_method, "expected POST"});
         return false;
     }
-    json_parse_result parsed = parse_json(one.request.body);
+    json_parse_result parsed = parse_json(call.request.body);
     if (!parsed.value || !parsed.value->is_object()) {
-        const std::string what = parsed.value ? "expected an object" : parsed.error;
-        refuse_early(one, {refusal_code::bad_request, "body is no JSON request: " + what});
+        const std::string error = parsed.value ? "expected an object" : parsed.error;
+        refuse_before_admission(call,
+                                {refusal_code::bad_request, "body is no JSON request: " + error});
         return false;
     }
-    one.body = std::move(parsed.value->as_object());
-    one.demand = {service_id(text_member(one.body, "model")), text_member(one.body, "version"),
-                  text_member(one.body, "adapter")};
-    if (one.demand.service.empty()) {
-        refuse_early(one, {refusal_code::bad_request, "model: expected a string"});
+    call.body = std::move(parsed.value->as_object());
+    call.demand = {service_id(string_member(call.body, "model")),
+                   string_member(call.body, "version"), string_member(call.body, "adapter")};
+    if (call.demand.service.empty()) {
+        refuse_before_admission(call, {refusal_code::bad_request, "model: expected a string"});
         return false;
     }
-    const boost::json::value* stream = one.body.if_contains("stream");
+    const boost::json::value* stream = call.body.if_contains("stream");
     if (stream != nullptr && !stream->is_bool()) {
-        refuse_early(one, {refusal_code::bad_request, "stream: expected true or false"});
+        refuse_before_admission(call,
+                                {refusal_code::bad_request, "stream: expected true or false"});
         return false;
     }
-    one.streams = stream != nullptr && stream->as_bool();
-    one.prefix = prefix_hash(one.body);
+    call.wants_stream = stream != nullptr && stream->as_bool();
+    call.prefix_hash = hash_prompt_prefix(call.body);
     return true;
 }
 
-bool online_calls::read_headers(call& one) {
-    const std::string& repeatable = one.request.header("cassia-repeatable");
+bool online_calls::read_headers(call_state& call) {
+    const std::string& repeatable = call.request.header("cassia-repeatable");
     if (!repeatable.empty() && repeatable != "yes" && repeatable != "no") {
-        refuse_early(one, {refusal_code::bad_request, "Cassia-Repeatable: expected yes or no"});
+        refuse_before_admission(
+            call, {refusal_code::bad_request, "Cassia-Repeatable: expected yes or no"});
         return false;
     }
     if (!repeatable.empty())
-        one.repeatable = repeatable == "yes";
-    one.key = one.request.header("idempotency-key");
-    if (one.key.size() > longest_key) {
-        refuse_early(one, {refusal_code::bad_request, "Idempotency-Key: at most 255 characters"});
+        call.repeatable = repeatable == "yes";
+    call.idempotency_key = call.request.header("idempotency-key");
+    if (call.idempotency_key.size() > max_key_length) {
+        refuse_before_admission(
+            call, {refusal_code::bad_request, "Idempotency-Key: at most 255 characters"});
         return false;
     }
-    one.arrived = monotonic_now();
-    one.deadline = instant::max();
-    const std::string& deadline = one.request.header("cassia-deadline");
+    call.arrived_at = monotonic_now();
+    call.deadline = instant::max();
+    const std::string& deadline = call.request.header("cassia-deadline");
     if (deadline.empty())
         return true;
-    std::uint32_t left = 0;
-    const char* last = deadline.data() + deadline.size();
-    const std::from_chars_result read = std::from_chars(deadline.data(), last, left);
-    if (read.ec != std::errc() || read.ptr != last || left == 0) {
-        refuse_early(one, {refusal_code::bad_request,
-                           "Cassia-Deadline: expected milliseconds from now, above 0"});
+    std::uint32_t remaining_ms = 0;
+    const char* end = deadline.data() + deadline.size();
+    const std::from_chars_result parsed = std::from_chars(deadline.data(), end, remaining_ms);
+    if (parsed.ec != std::errc() || parsed.ptr != end || remaining_ms == 0) {
+        refuse_before_admission(call, {refusal_code::bad_request,
+                                       "Cassia-Deadline: expected milliseconds from now, above 0"});
         return false;
     }
-    one.deadline = one.arrived + milliseconds(left);
+    call.deadline = call.arrived_at + milliseconds(remaining_ms);
     return true;
 }
 
-bool online_calls::is_allowed(const call& one) const {
-    const settings::allowance& plan = *one.from.plan->allowed;
-    if (!one.engine)
-        return plan.services.count(one.demand.service) > 0;
-    auto allowed = plan.models.find(one.demand.service);
-    if (allowed == plan.models.end())
+bool online_calls::is_allowed(const call_state& call) const {
+    const settings::allowance& allowance = *call.caller.plan->allowed;
+    if (!call.for_engine)
+        return allowance.services.count(call.demand.service) > 0;
+    auto model = allowance.models.find(call.demand.service);
+    if (model == allowance.models.end())
         return false;
-    const std::set<std::string>& versions = allowed->second.versions;
-    const std::set<std::string>& adapters = allowed->second.adapters;
-    const bool version =
-        one.demand.version.empty() || versions.empty() || versions.count(one.demand.version) > 0;
-    const bool adapter =
-        one.demand.adapter.empty() || adapters.empty() || adapters.count(one.demand.adapter) > 0;
-    return version && adapter;
+    const std::set<std::string>& versions = model->second.versions;
+    const std::set<std::string>& adapters = model->second.adapters;
+    const bool version_allowed =
+        call.demand.version.empty() || versions.empty() || versions.count(call.demand.version) > 0;
+    const bool adapter_allowed =
+        call.demand.adapter.empty() || adapters.empty() || adapters.count(call.demand.adapter) > 0;
+    return version_allowed && adapter_allowed;
 }
 
-bool online_calls::within_rate(call& one) {
-    auto found = rates_.find(one.from.plan->team);
-    if (found == rates_.end()) {
-        found = rates_.emplace(one.from.plan->team, policy::rate_limiter()).first;
-        found->second.configure(one.from.plan->rate.per_second, one.from.plan->burst.value);
+bool online_calls::check_rate_limit(call_state& call) {
+    auto limiter = rate_limiters_.find(call.caller.plan->team);
+    if (limiter == rate_limiters_.end()) {
+        limiter = rate_limiters_.emplace(call.caller.plan->team, policy::rate_limiter()).first;
+        limiter->second.configure(call.caller.plan->rate.per_second, call.caller.plan->burst.value);
     }
-    const milliseconds wait = found->second.admit(one.arrived);
-    if (wait.count() == 0)
+    const milliseconds retry_after = limiter->second.admit(call.arrived_at);
+    if (retry_after.count() == 0)
         return true;
-    refuse_early(one,
-                 {refusal_code::over_share, "the plan's rate is used up", run_state::no, wait});
+    refuse_before_admission(
+        call, {refusal_code::over_share, "the plan's rate is used up", run_state::no, retry_after});
     return false;
 }
 
-void online_calls::admit(call one) {
-    if (!is_allowed(one)) {
-        refuse_early(
-            one, {refusal_code::not_allowed, "the plan doesn't allow '" + one.demand.service.str() +
-                                                 "' in this version or with this adapter"});
+void online_calls::admit(call_state admitted) {
+    if (!is_allowed(admitted)) {
+        refuse_before_admission(
+            admitted,
+            {refusal_code::not_allowed, "the plan doesn't allow '" + admitted.demand.service.str() +
+                                            "' in this version or with this adapter"});
         return;
     }
     if (context_.view->stale) {
-        refuse_early(one, {refusal_code::stale, "this entry is cut off from the configuration",
-                           run_state::no, come_back_soon});
+        refuse_before_admission(admitted, {refusal_code::stale,
+                                           "this entry is cut off from the configuration",
+                                           run_state::no, default_retry_after});
         return;
     }
-    if (!within_rate(one))
+    if (!check_rate_limit(admitted))
         return;
-    one.print = cassia::fingerprint(sha256_hex(one.from.plan->team.str() + "\n" +
-                                               one.request.method + "\n" + one.request.path + "\n" +
-                                               canonical_body(one.request.body)));
-    if (crash_tracker_.is_quarantined(one.print)) {
-        refuse_early(one, {refusal_code::quarantined, "this request crashed endpoints"});
+    admitted.fingerprint = cassia::fingerprint(
+        sha256_hex(admitted.caller.plan->team.str() + "\n" + admitted.request.method + "\n" +
+                   admitted.request.path + "\n" + canonical_body(admitted.request.body)));
+    if (crash_tracker_.is_quarantined(admitted.fingerprint)) {
+        refuse_before_admission(admitted,
+                                {refusal_code::quarantined, "this request crashed endpoints"});
         return;
     }
     context_.counters.count("online_calls");
-    retries_.request_started();
-    const exchange_id exchange = one.exchange;
-    call& kept = calls_.emplace(exchange, std::move(one)).first->second;
-    if (kept.key.empty())
-        enqueue(kept);
+    retry_budget_.request_started();
+    const exchange_id exchange = admitted.exchange;
+    call_state& call = calls_.emplace(exchange, std::move(admitted)).first->second;
+    if (call.idempotency_key.empty())
+        enqueue(call);
     else
-        claim(kept);
+        claim_key(call);
 }
 
-void online_calls::claim(call& one) {
+void online_calls::claim_key(call_state& call) {
     schema::keeper_request request;
-    request.set_group(static_cast<std::uint32_t>(key_group(one).value()));
-    schema::key_claim* claimed = request.mutable_work()->mutable_claim();
-    claimed->set_team(one.from.plan->team.str());
-    claimed->set_key(one.key);
-    claimed->set_fingerprint(one.print.str());
-    claimed->set_holder(context_.control.holder());
-    claimed->set_request(one.request_id);
-    claimed->set_repeatable(one.repeatable);
-    claimed->set_at(to_unix_ms(wall_now()));
-    claimed->set_retention_ms(one.from.plan->retention_ms);
-    const exchange_id exchange = one.exchange;
+    request.set_group(static_cast<std::uint32_t>(key_group(call).value()));
+    schema::key_claim* claim = request.mutable_work()->mutable_claim();
+    claim->set_team(call.caller.plan->team.str());
+    claim->set_key(call.idempotency_key);
+    claim->set_fingerprint(call.fingerprint.str());
+    claim->set_holder(context_.control.holder());
+    claim->set_request(call.request_id);
+    claim->set_repeatable(call.repeatable);
+    claim->set_at(to_unix_ms(wall_now()));
+    claim->set_retention_ms(call.caller.plan->retention_ms);
+    const exchange_id exchange = call.exchange;
     context_.control.send_request(
         std::move(request), request_options(), context_.task,
-        [this, exchange](const schema::keeper_reply& reply) { on_claimed(exchange, reply); });
+        [this, exchange](const schema::keeper_reply& reply) { on_key_claimed(exchange, reply); });
 }
 
-void online_calls::on_claimed(exchange_id exchange, const schema::keeper_reply& reply) {
-    call* one = find(exchange);
-    if (one == nullptr)
+void online_calls::on_key_claimed(exchange_id exchange, const schema::keeper_reply& reply) {
+    call_state* call = find(exchange);
+    if (call == nullptr)
         return;
     if (reply.result() != schema::keeper_reply::done) {
-        // The claim may still be committed. It is given back; should that get lost as well, the
-        // key is freed or marked unknown once this process is gone.
-        one->claimed = true;
+        // The claim may still be committed, so refuse() releases the key. If that request is lost
+        // as well, the key is released or its outcome marked unknown once this process has ended.
+        call->key_claimed = true;
         refuse(exchange, {refusal_code::no_quorum, "the durable state can't be reached",
-                          run_state::no, come_back_soon});
+                          run_state::no, default_retry_after});
         return;
     }
     switch (reply.work().result()) {
     case schema::work_reply::done:
-        one->claimed = true;
-        enqueue(*one);
+        call->key_claimed = true;
+        enqueue(*call);
         return;
     case schema::work_reply::replay: {
         net::http_response response;
@@ -228,8 +237,8 @@
         response.content_type = reply.work().answer().content_type();
         response.body = reply.work().answer().body();
         response.headers["Cassia-Replayed"] = "true";
-        response.headers["Cassia-Request-Id"] = one->request_id;
-        explain(decision_kind::ended, *one, "replayed", "the key's answer was stored");
+        response.headers["Cassia-Request-Id"] = call->request_id;
+        record_decision(decision_kind::ended, *call, "replayed", "the key's answer was stored");
         context_.counters.count("replayed");
         context_.server->respond(exchange, response);
         remove(exchange);
@@ -237,7 +246,7 @@
     }
     case schema::work_reply::in_progress:
         refuse(exchange, {refusal_code::in_progress, "a request with this key is running",
-                          run_state::no, come_back_soon});
+                          run_state::no, default_retry_after});
         return;
     case schema::work_reply::key_reused:
         refuse(exchange,
@@ -252,50 +261,51 @@
 }
 
 double online_calls::expected_wait_s() const {
-    return static_cast<double>(waiting_.size()) / ends_per_second_;
+    return static_cast<double>(waiting_.size()) / completions_per_second_;
 }
 
-// Better refused now than after a wait that can't succeed.
-bool online_calls::can_make_deadline(const call& one) const {
-    if (one.deadline == instant::max() || ends_per_second_ <= 0 || waiting_.size() == 0)
+// Lets a call that would miss its deadline in the queue be refused immediately instead of after the
+// wait.
+bool online_calls::can_meet_deadline(const call_state& call) const {
+    if (call.deadline == instant::max() || completions_per_second_ <= 0 || waiting_.size() == 0)
         return true;
-    const double left_s = static_cast<double>((one.deadline - monotonic_now()).count()) / 1e6;
-    return expected_wait_s() < left_s;
+    const double remaining_s = static_cast<double>((call.deadline - monotonic_now()).count()) / 1e6;
+    return expected_wait_s() < remaining_s;
 }
 
-void online_calls::enqueue(call& one) {
-    if (!router_.can_serve(one.demand)) {
-        refuse(one.exchange,
-               {refusal_code::no_endpoint, "no endpoint serves '" + one.demand.service.str() + "'",
-                run_state::no, come_back_soon});
+void online_calls::enqueue(call_state& call) {
+    if (!router_.can_serve(call.demand)) {
+        refuse(call.exchange,
+               {refusal_code::no_endpoint, "no endpoint serves '" + call.demand.service.str() + "'",
+                run_state::no, default_retry_after});
         return;
     }
-    if (!can_make_deadline(one)) {
-        refuse(one.exchange,
+    if (!can_meet_deadline(call)) {
+        refuse(call.exchange,
                {refusal_code::deadline, "the deadline would pass while it waits", run_state::no,
                 milliseconds(static_cast<std::int64_t>(expected_wait_s() * 1000))});
         return;
     }
-    // A suspect waits for its turn alone; refused as soon as the others it would share the fate of
-    // the request that crashed the endpoint.
-    constexpr int suspect_patience = 10;
+    // A suspect may run only where no other suspect runs, so its turn can take much longer. With
+    // the usual limit it would be refused because of the request that really crashed the endpoint.
+    constexpr int suspect_wait_factor = 10;
     const instant now = monotonic_now();
-    const milliseconds usual(context_.settings.queue_wait_ms());
-    const bool suspect = crash_tracker_.is_suspect(one.print);
-    const instant patience = now + (suspect ? usual * suspect_patience : usual);
-    one.waiting = waiting_.add({one.exchange, one.from.plan->team, one.from.plan->weight,
-                                std::min(patience, one.deadline)});
-    if (!one.waiting) {
-        refuse(one.exchange, {refusal_code::over_share, "too many of the plan's requests wait",
-                              run_state::no, come_back_soon});
+    const milliseconds max_wait(context_.settings.queue_wait_ms());
+    const bool suspect = crash_tracker_.is_suspect(call.fingerprint);
+    const instant give_up_at = now + (suspect ? max_wait * suspect_wait_factor : max_wait);
+    call.waiting = waiting_.add({call.exchange, call.caller.plan->team, call.caller.plan->weight,
+                                 std::min(give_up_at, call.deadline)});
+    if (!call.waiting) {
+        refuse(call.exchange, {refusal_code::over_share, "too many of the plan's requests wait",
+                               run_state::no, default_retry_after});
         return;
     }
-    const exchange_id exchange = one.exchange;
-    offer_waiting();
-    call* still = find(exchange);
-    if (still != nullptr && still->waiting)
-        explain(decision_kind::queued, *still, still->demand.service.str(),
-                "no free slot; " + std::to_string(waiting_.size()) + " wait");
+    const exchange_id exchange = call.exchange;
+    dispatch_waiting();
+    call_state* queued_call = find(exchange);
+    if (queued_call != nullptr && queued_call->waiting)
+        record_decision(decision_kind::queued, *queued_call, queued_call->demand.service.str(),
+                        "no free slot; " + std::to_string(waiting_.size()) + " wait");
 }
 
 } // namespace cassia::entry
--- a/lib/entry/online_dispatch.cpp
+++ b/lib/entry/online_dispatch.cpp
@@ -1,4 +1,4 @@
-// Dispatch of online calls to endpoints, and what follows a failure.
+// Dispatch of online calls to endpoints, relaying of their answers, and retries after failures.
 
 #include "cassia/entry/online_calls.h"
 
@@ -14,221 +14,224 @@
 namespace cassia::entry {
 
 namespace {
-constexpr int most_attempts = 4;
-constexpr int first_server_error = 500;
-constexpr std::array<std::string_view, 10> own_headers = {
+constexpr int max_attempts = 4;
+constexpr int min_server_error_status = 500;
+constexpr std::array<std::string_view, 10> unforwarded_headers = {
     "authorization",     "host",   "connection", "content-length", "content-type",
     "transfer-encoding", "expect", "te",         "upgrade",        "accept-encoding"};
 } // namespace
 
-// Waiting calls are offered in fair order. Calls that ask for the same are all full together, so
-// one that can't go stands for the others of its kind in this round.
-void online_calls::offer_waiting() {
+// Dispatches waiting calls in fair order. If a call finds no free endpoint, neither do other calls
+// with the same demand, so those are skipped in this round. This doesn't apply to calls that must
+// avoid some endpoints: suspects, and calls with failed attempts.
+void online_calls::dispatch_waiting() {
     if (waiting_.size() == 0)
         return;
-    std::set<std::string> full;
-    waiting_.offer([this, &full](exchange_id exchange) {
-        call* one = find(exchange);
-        if (one == nullptr)
+    std::set<std::string> exhausted_demands;
+    waiting_.offer([this, &exhausted_demands](exchange_id exchange) {
+        call_state* call = find(exchange);
+        if (call == nullptr)
             return true;
-        const bool plain = !crash_tracker_.is_suspect(one->print) && one->failed_at.empty();
-        const std::string kind =
-            one->demand.service.str() + "\n" + one->demand.version + "\n" + one->demand.adapter;
-        if (plain && full.count(kind) > 0)
+        const bool unrestricted =
+            !crash_tracker_.is_suspect(call->fingerprint) && call->failed_endpoints.empty();
+        const std::string demand_key =
+            call->demand.service.str() + "\n" + call->demand.version + "\n" + call->demand.adapter;
+        if (unrestricted && exhausted_demands.count(demand_key) > 0)
             return false;
-        const bool gone = try_dispatch(exchange);
-        if (!gone && plain)
-            full.insert(kind);
-        return gone;
+        const bool dispatched = try_dispatch(exchange);
+        if (!dispatched && unrestricted)
+            exhausted_demands.insert(demand_key);
+        return dispatched;
     });
 }
 
 bool online_calls::try_dispatch(exchange_id exchange) {
-    call& one = *find(exchange);
+    call_state& call = *find(exchange);
     const instant now = monotonic_now();
-    policy::pick_request wanted;
-    wanted.demand = one.demand;
-    wanted.prefix = one.prefix;
-    wanted.suspect = crash_tracker_.is_suspect(one.print);
-    wanted.avoid = one.failed_at;
-    const std::optional<policy::pick> chosen = router_.choose(wanted, now);
+    policy::pick_request request;
+    request.demand = call.demand;
+    request.prefix = call.prefix_hash;
+    request.suspect = crash_tracker_.is_suspect(call.fingerprint);
+    request.avoid = call.failed_endpoints;
+    const std::optional<policy::pick> chosen = router_.choose(request, now);
     if (!chosen)
         return false;
-    one.waiting = false;
-    one.suspect = wanted.suspect;
-    dispatch(one, *chosen);
+    call.waiting = false;
+    call.suspect = request.suspect;
+    dispatch(call, *chosen);
     return true;
 }
 
-static bool is_passed_on(const std::string& header) {
-    return std::find(own_headers.begin(), own_headers.end(), header) == own_headers.end() &&
+static bool is_forwarded(const std::string& header) {
+    return std::find(unforwarded_headers.begin(), unforwarded_headers.end(), header) ==
+               unforwarded_headers.end() &&
            header.compare(0, 7, "cassia-") != 0 && header != "idempotency-key";
 }
 
-void online_calls::dispatch(call& one, const policy::pick& chosen) {
+void online_calls::dispatch(call_state& call, const policy::pick& chosen) {
     const instant now = monotonic_now();
     const policy::endpoint_facts* facts = find_endpoint(*context_.view, chosen.endpoint);
     assert(facts != nullptr && "the router picks among the view's endpoints");
-    net::http_call out;
-    out.method = one.request.method;
-    out.to = facts->address;
-    out.path = escape_path(one.path);
-    for (const std::pair<const std::string, std::string>& header : one.request.headers) {
-        if (is_passed_on(header.first))
-            out.headers[header.first] = header.second;
+    net::http_call request;
+    request.method = call.request.method;
+    request.to = facts->address;
+    request.path = escape_path(call.endpoint_path);
+    for (const std::pair<const std::string, std::string>& header : call.request.headers) {
+        if (is_forwarded(header.first))
+            request.headers[header.first] = header.second;
     }
     std::string query;
-    for (const std::pair<const std::string, std::string>& parameter : one.request.query)
+    for (const std::pair<const std::string, std::string>& parameter : call.request.query)
         query += (query.empty() ? "?" : "&") + escape_path(parameter.first) + "=" +
                  escape_path(parameter.second);
-    out.path += query;
-    out.headers["Cassia-Request-Id"] = one.request_id;
-    out.headers["Cassia-Attempt"] = std::to_string(++one.attempts);
-    const std::string& type = one.request.header("content-type");
-    out.content_type = type.empty() ? "application/json" : type;
-    out.body = upstream_body(one);
-    // A kept connection may be one that the other end, or something between, has forgotten. A
-    // request that must not run twice can't be sent again to find out, and a retry must not fall
-    // into the same hole.
-    out.fresh_connection = !one.repeatable || one.attempts > 1;
-    out.progress_timeout = milliseconds(context_.settings.progress_timeout_ms());
+    request.path += query;
+    request.headers["Cassia-Request-Id"] = call.request_id;
+    request.headers["Cassia-Attempt"] = std::to_string(++call.attempts);
+    const std::string& content_type = call.request.header("content-type");
+    request.content_type = content_type.empty() ? "application/json" : content_type;
+    request.body = upstream_request_body(call);
+    // The endpoint or a middlebox may have dropped the state of a kept-alive connection. A request
+    // that must not run twice can't be resent to find out, and a retry must not fail the same way.
+    request.fresh_connection = !call.repeatable || call.attempts > 1;
+    request.progress_timeout = milliseconds(context_.settings.progress_timeout_ms());
 
-    one.endpoint = chosen.endpoint;
-    one.running = true;
-    one.has_output = false;
-    one.sent_at = now;
-    one.room_asked_at = now;
-    one.expected_first_token = chosen.expected_first_token;
-    one.head = net::http_head();
-    one.events = event_splitter();
-    auto batch = batch_uses_.find(chosen.endpoint);
-    one.beside_batch =
-        facts->others_batch > 0 || (batch != batch_uses_.end() && batch->second.batch > 0);
-    router_.started(chosen.endpoint, one.prefix, one.suspect);
+    call.endpoint = chosen.endpoint;
+    call.running = true;
+    call.has_output = false;
+    call.sent_at = now;
+    call.slot_requested_at = now;
+    call.expected_first_token = chosen.expected_first_token;
+    call.response_head = net::http_head();
+    call.splitter = event_splitter();
+    auto own_batch = batch_uses_.find(chosen.endpoint);
+    call.alongside_batch =
+        facts->others_batch > 0 || (own_batch != batch_uses_.end() && own_batch->second.batch > 0);
+    router_.started(chosen.endpoint, call.prefix_hash, call.suspect);
     if (chosen.yield > 0) {
         context_.control.request_yield(chosen.endpoint, chosen.yield);
         context_.counters.count("yields_asked", chosen.yield);
-        context_.decisions.add(decision_kind::yielded, chosen.endpoint.str(), one.request_id,
+        context_.decisions.add(decision_kind::yielded, chosen.endpoint.str(), call.request_id,
                                "online call needs a slot");
     }
-    explain(decision_kind::routed, one, chosen.endpoint.str(),
-            std::string(pick_reason_name(chosen.reason)) + ", expected first token " +
-                std::to_string(chosen.expected_first_token.count()) + " us");
-    const exchange_id exchange = one.exchange;
+    record_decision(decision_kind::routed, call, chosen.endpoint.str(),
+                    std::string(pick_reason_name(chosen.reason)) + ", expected first token " +
+                        std::to_string(chosen.expected_first_token.count()) + " us");
+    const exchange_id exchange = call.exchange;
     net::http_call_hooks hooks;
     hooks.on_head = [this, exchange](const net::http_head& head) { on_head(exchange, head); };
-    hooks.on_piece = [this, exchange](std::string_view piece) { on_piece(exchange, piece); };
+    hooks.on_piece = [this, exchange](std::string_view chunk) { on_chunk(exchange, chunk); };
     hooks.on_end = [this, exchange] { on_end(exchange); };
-    hooks.on_failure = [this, exchange](const net::http_failure& failed) {
-        on_failure(exchange, failed);
+    hooks.on_failure = [this, exchange](const net::http_failure& failure) {
+        on_failure(exchange, failure);
     };
-    one.upstream = client_.start(out, std::move(hooks));
+    call.upstream_call = client_.start(request, std::move(hooks));
 }
 
-// Engines are always asked to stream. A caller that wants one piece gets it assembled here: without
-// the tokens a long answer looks the same as a connection that went silent, and could only be begun
-// anew when it breaks. A stream that broke off goes on behind the tokens that are here already.
-std::string online_calls::upstream_body(const call& one) const {
-    if (!one.engine || (one.streams && one.tokens.empty()))
-        return one.request.body;
-    boost::json::object body = one.body;
+// Engines are always asked for a stream; for a caller that didn't ask for one the answer is
+// assembled here. Without a stream a long answer could not be told from a stalled connection, and
+// would have to start over when the connection breaks. An interrupted stream resumes after the
+// tokens already received.
+std::string online_calls::upstream_request_body(const call_state& call) const {
+    if (!call.for_engine || (call.wants_stream && call.token_events.empty()))
+        return call.request.body;
+    boost::json::object body = call.body;
     body["stream"] = true;
-    if (!one.tokens.empty())
-        body["resume_from"] = one.tokens.size();
+    if (!call.token_events.empty())
+        body["resume_from"] = call.token_events.size();
     return boost::json::serialize(body);
 }
 
 void online_calls::on_head(exchange_id exchange, const net::http_head& head) {
-    call& one = *find(exchange);
-    one.ever_sent = true;
-    one.head = head;
+    call_state& call = *find(exchange);
+    call.possibly_received = true;
+    call.response_head = head;
 }
 
-void online_calls::on_piece(exchange_id exchange, std::string_view piece) {
-    call& one = *find(exchange);
-    note_first_token(one);
-    if (!is_event_stream(one)) {
-        one.answer.append(piece);
+void online_calls::on_chunk(exchange_id exchange, std::string_view chunk) {
+    call_state& call = *find(exchange);
+    record_first_token(call);
+    if (!is_event_stream(call)) {
+        call.response_body.append(chunk);
         return;
     }
-    one.events.add(piece);
-    take_events(one);
+    call.splitter.add(chunk);
+    forward_events(call);
 }
 
-bool online_calls::is_event_stream(const call& one) {
-    return one.engine && one.head.status == 200;
+bool online_calls::is_event_stream(const call_state& call) {
+    return call.for_engine && call.response_head.status == 200;
 }
 
-void online_calls::take_events(call& one) {
-    std::string out;
-    while (std::optional<std::string> event = one.events.next()) {
-        if (is_done(*event)) {
-            one.done_seen = true;
+void online_calls::forward_events(call_state& call) {
+    std::string forwarded;
+    while (std::optional<std::string> event = call.splitter.next()) {
+        if (is_done_event(*event)) {
+            call.done_received = true;
             continue;
         }
-        one.tokens.emplace_back(event_data(*event));
-        out += *event;
+        call.token_events.emplace_back(event_data(*event));
+        forwarded += *event;
     }
-    if (out.empty() || !one.streams)
+    if (forwarded.empty() || !call.wants_stream)
         return;
-    if (!one.head_sent) {
-        one.head_sent = true;
-        net::http_response head;
-        head.content_type = "text/event-stream";
-        head.headers["Cassia-Request-Id"] = one.request_id;
-        context_.server->begin_stream(one.exchange, head);
+    if (!call.head_sent) {
+        call.head_sent = true;
+        net::http_response response;
+        response.content_type = "text/event-stream";
+        response.headers["Cassia-Request-Id"] = call.request_id;
+        context_.server->begin_stream(call.exchange, response);
     }
-    context_.server->stream(one.exchange, out);
+    context_.server->stream(call.exchange, forwarded);
 }
 
-void online_calls::end_attempt(call& one, policy::call_result result) {
-    one.running = false;
-    router_.ended(one.endpoint, one.suspect, result, monotonic_now());
-    ++ends_;
+void online_calls::end_attempt(call_state& call, policy::call_result result) {
+    call.running = false;
+    router_.ended(call.endpoint, call.suspect, result, monotonic_now());
+    ++completions_;
 }
 
 void online_calls::on_end(exchange_id exchange) {
-    call& one = *find(exchange);
-    if (is_event_stream(one) && !one.done_seen) {
+    call_state& call = *find(exchange);
+    if (is_event_stream(call) && !call.done_received) {
         on_failure(exchange,
                    {{net::errc::connection_lost, "the stream ended before its last event"}, true});
         return;
     }
-    const bool server_error = one.head.status >= first_server_error;
-    end_attempt(one, server_error ? policy::call_result::failed : policy::call_result::finished);
-    if (server_error && one.repeatable && one.attempts < most_attempts && retries_.take()) {
-        retry(one, "the endpoint answered " + std::to_string(one.head.status));
+    const bool server_error = call.response_head.status >= min_server_error_status;
+    end_attempt(call, server_error ? policy::call_result::failed : policy::call_result::finished);
+    if (server_error && call.repeatable && call.attempts < max_attempts && retry_budget_.take()) {
+        retry(call, "the endpoint answered " + std::to_string(call.response_head.status));
         return;
     }
-    finish(one);
-    offer_waiting();
+    finish(call);
+    dispatch_waiting();
 }
 
-void online_calls::on_failure(exchange_id exchange, const net::http_failure& failed) {
-    call& one = *find(exchange);
-    one.ever_sent = one.ever_sent || failed.sent;
+void online_calls::on_failure(exchange_id exchange, const net::http_failure& failure) {
+    call_state& call = *find(exchange);
+    call.possibly_received = call.possibly_received || failure.sent;
     context_.counters.count("attempts_failed");
-    const policy::endpoint_facts* facts = find_endpoint(*context_.view, one.endpoint);
-    const bool may_be_dead = failed.cause.code == net::errc::connection_lost && failed.sent;
-    if (may_be_dead && facts == nullptr) {
-        decide_after_failure(exchange, failed, true);
+    const policy::endpoint_facts* facts = find_endpoint(*context_.view, call.endpoint);
+    const bool maybe_crashed = failure.cause.code == net::errc::connection_lost && failure.sent;
+    if (maybe_crashed && facts == nullptr) {
+        handle_failure(exchange, failure, true);
         return;
     }
-    if (may_be_dead) {
-        crash_tracker_.probe(facts->address, [this, exchange, failed](bool dead) {
+    if (maybe_crashed) {
+        crash_tracker_.probe(facts->address, [this, exchange, failure](bool crashed) {
             if (find(exchange) != nullptr)
-                decide_after_failure(exchange, failed, dead);
+                handle_failure(exchange, failure, crashed);
         });
         return;
     }
-    decide_after_failure(exchange, failed, false);
+    handle_failure(exchange, failure, false);
 }
 
-void online_calls::blame_death(const endpoint_id& endpoint) {
+void online_calls::record_crash(const endpoint_id& endpoint) {
     std::vector<policy::running_request> running;
-    for (const std::pair<const exchange_id, call>& one : calls_) {
-        if (one.second.running && one.second.endpoint == endpoint)
-            running.push_back({one.second.print, one.second.has_output});
+    for (const std::pair<const exchange_id, call_state>& open_call : calls_) {
+        if (open_call.second.running && open_call.second.endpoint == endpoint)
+            running.push_back({open_call.second.fingerprint, open_call.second.has_output});
     }
     if (!crash_tracker_.record_crash(endpoint, running))
         return;
@@ -236,46 +239,46 @@
     context_.decisions.add(decision_kind::ejected, endpoint.str(), "", "it died");
 }
 
-void online_calls::decide_after_failure(exchange_id exchange, const net::http_failure& failed,
-                                        bool died) {
-    call& one = *find(exchange);
-    if (died)
-        blame_death(one.endpoint);
-    if (failed.cause.code == net::errc::cannot_connect)
-        router_.eject(one.endpoint, monotonic_now());
-    one.failed_at.insert(one.endpoint);
-    end_attempt(one, policy::call_result::failed);
-    if (crash_tracker_.is_quarantined(one.print)) {
+void online_calls::handle_failure(exchange_id exchange, const net::http_failure& failure,
+                                  bool crashed) {
+    call_state& call = *find(exchange);
+    if (crashed)
+        record_crash(call.endpoint);
+    if (failure.cause.code == net::errc::cannot_connect)
+        router_.eject(call.endpoint, monotonic_now());
+    call.failed_endpoints.insert(call.endpoint);
+    end_attempt(call, policy::call_result::failed);
+    if (crash_tracker_.is_quarantined(call.fingerprint)) {
         refuse(exchange,
                {refusal_code::quarantined, "this request crashed endpoints", run_state::yes});
         return;
     }
-    const bool may_run_again = one.repeatable || !failed.sent;
-    if (!may_run_again) {
+    const bool may_retry = call.repeatable || !failure.sent;
+    if (!may_retry) {
         refuse(exchange,
                {refusal_code::outcome_unknown,
-                "the endpoint was lost while it ran: " + failed.cause.text, run_state::maybe});
+                "the endpoint was lost while it ran: " + failure.cause.text, run_state::maybe});
         return;
     }
-    if (one.attempts >= most_attempts || (failed.sent && !retries_.take())) {
-        refuse(exchange, {refusal_code::endpoint_failed, "endpoints failed: " + failed.cause.text,
-                          run_state::no, come_back_soon});
+    if (call.attempts >= max_attempts || (failure.sent && !retry_budget_.take())) {
+        refuse(exchange, {refusal_code::endpoint_failed, "endpoints failed: " + failure.cause.text,
+                          run_state::no, default_retry_after});
         return;
     }
-    retry(one, failed.cause.text);
+    retry(call, failure.cause.text);
 }
 
-void online_calls::retry(call& one, const std::string& reason) {
-    one.answer.clear();
-    one.done_seen = false;
-    explain(!one.tokens.empty() ? decision_kind::resumed : decision_kind::retried, one,
-            one.endpoint.str(), reason);
-    context_.counters.count(!one.tokens.empty() ? "resumed" : "retried");
-    // With every endpoint tried, one of them is better than none.
-    policy::pick_request wanted{one.demand, 0, false, one.failed_at};
-    if (!router_.choose(wanted, monotonic_now()))
-        one.failed_at.clear();
-    enqueue(one);
+void online_calls::retry(call_state& call, const std::string& reason) {
+    call.response_body.clear();
+    call.done_received = false;
+    record_decision(!call.token_events.empty() ? decision_kind::resumed : decision_kind::retried,
+                    call, call.endpoint.str(), reason);
+    context_.counters.count(!call.token_events.empty() ? "resumed" : "retried");
+    // If no untried endpoint can take the call, endpoints that failed are allowed again.
+    policy::pick_request request{call.demand, 0, false, call.failed_endpoints};
+    if (!router_.choose(request, monotonic_now()))
+        call.failed_endpoints.clear();
+    enqueue(call);
 }
 
 } // namespace cassia::entry
--- a/lib/entry/operator_api.cpp
+++ b/lib/entry/operator_api.cpp
@@ -11,7 +11,7 @@
 
 namespace cassia::entry {
 
-static void respond_json(front_context& context, exchange_id exchange, int status,
+static void respond_json(http_context& context, exchange_id exchange, int status,
                          const boost::json::object& body) {
     net::http_response response;
     response.status = status;
@@ -26,16 +26,16 @@
                         request_id);
         return;
     }
-    const std::string what = request.path.substr(std::string_view("/v1/operator/").size());
-    if (what == "apply" && request.method == "POST") {
+    const std::string action = request.path.substr(std::string_view("/v1/operator/").size());
+    if (action == "apply" && request.method == "POST") {
         apply(exchange, request, request_id);
-    } else if (what == "history" && request.method == "GET") {
+    } else if (action == "history" && request.method == "GET") {
         history(exchange, request_id);
-    } else if (what == "explain" && request.method == "GET") {
+    } else if (action == "explain" && request.method == "GET") {
         explain(exchange, request.parameter("subject"));
-    } else if (what == "status" && request.method == "GET") {
+    } else if (action == "status" && request.method == "GET") {
         status(exchange);
-    } else if (what == "drain" && request.method == "POST") {
+    } else if (action == "drain" && request.method == "POST") {
         drain_();
         respond_json(context_, exchange, 202, {{"state", "draining"}});
     } else {
@@ -43,11 +43,11 @@
     }
 }
 
-static boost::json::array problems_json(const settings::problem_list& problems) {
-    boost::json::array out;
-    for (const settings::problem& one : problems)
-        out.push_back(boost::json::string(settings::to_text(one)));
-    return out;
+static boost::json::array problems_to_json(const settings::problem_list& problems) {
+    boost::json::array json;
+    for (const settings::problem& problem : problems)
+        json.push_back(boost::json::string(settings::to_text(problem)));
+    return json;
 }
 
 static const char* result_name(schema::control_reply::outcome result) {
@@ -69,14 +69,14 @@
         parsed.value && parsed.value->is_object() ? &parsed.value->as_object() : nullptr;
     schema::change_command change;
     bool complete = body != nullptr;
-    const auto text = [&body, &complete](const char* name) {
+    const auto string_member = [&body, &complete](const char* name) {
         const boost::json::value* member = complete ? body->if_contains(name) : nullptr;
         complete = member != nullptr && member->is_string();
         return complete ? std::string(member->as_string()) : std::string();
     };
-    change.set_change_id(text("change_id"));
-    change.set_plans(text("plans"));
-    change.set_allowances(text("allowances"));
+    change.set_change_id(string_member("change_id"));
+    change.set_plans(string_member("plans"));
+    change.set_allowances(string_member("allowances"));
     const boost::json::value* base = complete ? body->if_contains("base") : nullptr;
     if (base == nullptr || !base->is_int64() || base->as_int64() < 0 ||
         change.change_id().empty()) {
@@ -88,12 +88,12 @@
     }
     change.set_base(static_cast<std::uint64_t>(base->as_int64()));
     change.set_at(to_unix_ms(wall_now()));
-    const settings::result<std::shared_ptr<const settings::catalog>> checked =
+    const settings::result<std::shared_ptr<const settings::catalog>> catalog =
         settings::catalog::parse(0, "plans.toml", change.plans(), "allowances.toml",
                                  change.allowances());
-    if (!checked) {
+    if (!catalog) {
         respond_json(context_, exchange, 400,
-                     {{"result", "invalid"}, {"problems", problems_json(checked.error())}});
+                     {{"result", "invalid"}, {"problems", problems_to_json(catalog.error())}});
         return;
     }
     schema::keeper_request command_request;
@@ -105,7 +105,7 @@
                 context_.refuse(exchange,
                                 {refusal_code::no_quorum,
                                  "the outcome is unknown; resend with the same change-id",
-                                 run_state::maybe, come_back_soon},
+                                 run_state::maybe, default_retry_after},
                                 request_id);
                 return;
             }
@@ -132,16 +132,16 @@
             if (reply.result() != schema::keeper_reply::done) {
                 context_.refuse(exchange,
                                 {refusal_code::no_quorum, "the durable state can't be reached",
-                                 run_state::no, come_back_soon},
+                                 run_state::no, default_retry_after},
                                 request_id);
                 return;
             }
             boost::json::array changes;
-            for (const schema::change_record& one : reply.history())
-                changes.push_back({{"version", one.version()},
-                                   {"change_id", one.change_id()},
-                                   {"at", format_time(from_unix_ms(one.at()))},
-                                   {"digest", one.digest()}});
+            for (const schema::change_record& change : reply.history())
+                changes.push_back({{"version", change.version()},
+                                   {"change_id", change.change_id()},
+                                   {"at", format_rfc3339_time(from_unix_ms(change.at()))},
+                                   {"digest", change.digest()}});
             boost::json::object body{{"changes", std::move(changes)}};
             if (reply.history_size() > 0) {
                 const schema::change_record& newest = reply.history(reply.history_size() - 1);
@@ -154,13 +154,13 @@
 
 void operator_api::explain(exchange_id exchange, const std::string& subject) {
     boost::json::array decisions;
-    for (const decision& one : context_.decisions.find(subject))
-        decisions.push_back({{"at", to_unix_ms(one.at)},
+    for (const decision& found : context_.decisions.find(subject))
+        decisions.push_back({{"at", to_unix_ms(found.at)},
                              {"entry", context_.settings.name()},
-                             {"kind", decision_kind_name(one.kind)},
-                             {"subject", one.subject},
-                             {"object", one.object},
-                             {"reason", one.reason}});
+                             {"kind", decision_kind_name(found.kind)},
+                             {"subject", found.subject},
+                             {"object", found.object},
+                             {"reason", found.reason}});
     respond_json(context_, exchange, 200, {{"decisions", std::move(decisions)}});
 }
 
--- a/lib/entry/refusal.cpp
+++ b/lib/entry/refusal.cpp
@@ -5,13 +5,13 @@
 namespace cassia::entry {
 
 namespace {
-struct code_facts {
+struct code_info {
     refusal_code code;
     int status;
     const char* name;
 };
 
-constexpr code_facts codes[] = {
+constexpr code_info codes[] = {
     {refusal_code::bad_request, 400, "bad_request"},
     {refusal_code::unauthorized, 401, "unauthorized"},
     {refusal_code::not_allowed, 403, "not_allowed"},
@@ -34,22 +34,22 @@
 };
 } // namespace
 
-static const code_facts& facts_of(refusal_code code) {
-    for (const code_facts& one : codes) {
-        if (one.code == code)
-            return one;
+static const code_info& info_of(refusal_code code) {
+    for (const code_info& info : codes) {
+        if (info.code == code)
+            return info;
     }
     return codes[0];
 }
 
-int status_of(refusal_code code) {
-    return facts_of(code).status;
+int http_status_of(refusal_code code) {
+    return info_of(code).status;
 }
-const char* code_name(refusal_code code) {
-    return facts_of(code).name;
+const char* refusal_code_name(refusal_code code) {
+    return info_of(code).name;
 }
 
-const char* run_name(run_state run) {
+const char* run_state_name(run_state run) {
     switch (run) {
     case run_state::no:
         return "no";
@@ -61,23 +61,23 @@
     return "maybe";
 }
 
-static std::string body_of(const refusal& refused, const std::string& request_id) {
+static std::string error_body(const refusal& refused, const std::string& request_id) {
     const boost::json::object body = {{"error",
-                                       {{"code", code_name(refused.code)},
+                                       {{"code", refusal_code_name(refused.code)},
                                         {"message", refused.message},
-                                        {"run", run_name(refused.run)},
+                                        {"run", run_state_name(refused.run)},
                                         {"request_id", request_id}}}};
     return boost::json::serialize(body);
 }
 
-net::http_response to_response(const refusal& refused, const std::string& request_id) {
+net::http_response to_http_response(const refusal& refused, const std::string& request_id) {
     net::http_response response;
-    response.status = status_of(refused.code);
-    response.body = body_of(refused, request_id);
-    response.headers["Cassia-Run"] = run_name(refused.run);
+    response.status = http_status_of(refused.code);
+    response.body = error_body(refused, request_id);
+    response.headers["Cassia-Run"] = run_state_name(refused.run);
     response.headers["Cassia-Request-Id"] = request_id;
     if (refused.retry_after.count() > 0) {
-        // The header counts whole seconds.
+        // Retry-After is in whole seconds; round up.
         constexpr std::int64_t ms_per_second = 1000;
         const std::int64_t seconds =
             (refused.retry_after.count() + ms_per_second - 1) / ms_per_second;
@@ -86,8 +86,8 @@
     return response;
 }
 
-std::string to_event(const refusal& refused, const std::string& request_id) {
-    return "data: " + body_of(refused, request_id) + "\n\n";
+std::string to_sse_event(const refusal& refused, const std::string& request_id) {
+    return "data: " + error_body(refused, request_id) + "\n\n";
 }
 
 } // namespace cassia::entry
--- a/lib/entry/request_text.cpp
+++ b/lib/entry/request_text.cpp
@@ -9,25 +9,25 @@
 namespace cassia::entry {
 
 namespace {
-constexpr std::size_t deepest_nesting = 64;
+constexpr std::size_t max_nesting_depth = 64;
 } // namespace
 
 json_parse_result parse_json(std::string_view text) {
     boost::json::parse_options options;
-    options.max_depth = deepest_nesting;
-    boost::json::error_code problem;
-    boost::json::value value = boost::json::parse(
-        boost::json::string_view(text.data(), text.size()), problem, {}, options);
-    if (problem)
-        return {std::nullopt, problem.message()};
+    options.max_depth = max_nesting_depth;
+    boost::json::error_code error;
+    boost::json::value value =
+        boost::json::parse(boost::json::string_view(text.data(), text.size()), error, {}, options);
+    if (error)
+        return {std::nullopt, error.message()};
     return {std::move(value), ""};
 }
 
 static void append_canonical(const boost::json::value& value, std::string& out) {
     if (const boost::json::array* array = value.if_array()) {
         out.push_back('[');
-        for (const boost::json::value& one : *array) {
-            append_canonical(one, out);
+        for (const boost::json::value& element : *array) {
+            append_canonical(element, out);
             out.push_back(',');
         }
         out.push_back(']');
@@ -52,7 +52,7 @@
     out.push_back('}');
 }
 
-std::string canonical(const boost::json::value& value) {
+std::string canonical_json(const boost::json::value& value) {
     std::string out;
     append_canonical(value, out);
     return out;
@@ -60,7 +60,7 @@
 
 std::string canonical_body(std::string_view body) {
     const json_parse_result parsed = parse_json(body);
-    return parsed.value ? canonical(*parsed.value) : std::string(body);
+    return parsed.value ? canonical_json(*parsed.value) : std::string(body);
 }
 
 std::optional<std::string> event_splitter::next() {
@@ -73,11 +73,11 @@
 }
 
 std::string_view event_data(std::string_view event) {
-    constexpr std::string_view label = "data:";
-    const std::size_t at = event.find(label);
-    if (at == std::string_view::npos)
+    constexpr std::string_view field_name = "data:";
+    const std::size_t start = event.find(field_name);
+    if (start == std::string_view::npos)
         return {};
-    std::string_view data = event.substr(at + label.size());
+    std::string_view data = event.substr(start + field_name.size());
     while (!data.empty() && data.front() == ' ')
         data.remove_prefix(1);
     while (!data.empty() && (data.back() == '\n' || data.back() == '\r'))
@@ -85,22 +85,22 @@
     return data;
 }
 
-// The piece of text in an event's only choice.
-static const boost::json::value* text_of(const boost::json::object& choice) {
+// The text that an event adds to a choice: `delta.content` of a chat event, else `text`.
+static const boost::json::value* choice_text(const boost::json::object& choice) {
     const boost::json::value* delta = choice.if_contains("delta");
     if (delta == nullptr)
         return choice.if_contains("text");
     return delta->is_object() ? delta->as_object().if_contains("content") : nullptr;
 }
 
-static const boost::json::object* only_choice(const boost::json::object& event) {
+static const boost::json::object* first_choice(const boost::json::object& event) {
     const boost::json::value* choices = event.if_contains("choices");
-    const bool there = choices != nullptr && choices->is_array() && !choices->as_array().empty() &&
-                       choices->as_array()[0].is_object();
-    return there ? &choices->as_array()[0].as_object() : nullptr;
+    const bool present = choices != nullptr && choices->is_array() &&
+                         !choices->as_array().empty() && choices->as_array()[0].is_object();
+    return present ? &choices->as_array()[0].as_object() : nullptr;
 }
 
-std::string assemble_answer(const std::vector<std::string>& events, bool chat) {
+std::string assemble_completion(const std::vector<std::string>& events, bool chat) {
     std::string text;
     std::string finish_reason = "stop";
     boost::json::object body;
@@ -113,12 +113,12 @@
             if (const boost::json::value* member = object.if_contains(name))
                 body[name] = *member;
         }
-        const boost::json::object* choice = only_choice(object);
+        const boost::json::object* choice = first_choice(object);
         if (choice == nullptr)
             continue;
-        const boost::json::value* piece = text_of(*choice);
-        if (piece != nullptr && piece->is_string())
-            text += std::string(piece->as_string());
+        const boost::json::value* delta_text = choice_text(*choice);
+        if (delta_text != nullptr && delta_text->is_string())
+            text += std::string(delta_text->as_string());
         const boost::json::value* reason = choice->if_contains("finish_reason");
         if (reason != nullptr && reason->is_string())
             finish_reason = std::string(reason->as_string());
@@ -134,7 +134,7 @@
     return boost::json::serialize(body);
 }
 
-std::optional<wall_time> parse_time(const std::string& text) {
+std::optional<wall_time> parse_rfc3339_time(const std::string& text) {
     GTimeZone* utc = g_time_zone_new_utc();
     GDateTime* time = g_date_time_new_from_iso8601(text.c_str(), utc);
     g_time_zone_unref(utc);
@@ -148,7 +148,7 @@
     return wall_time(milliseconds(ms));
 }
 
-std::string format_time(wall_time time) {
+std::string format_rfc3339_time(wall_time time) {
     constexpr std::int64_t ms_per_second = 1000;
     GDateTime* utc =
         g_date_time_new_from_unix_utc(static_cast<gint64>(to_unix_ms(time)) / ms_per_second);
@@ -159,7 +159,7 @@
     return out;
 }
 
-bool is_text(const std::string& bytes) {
+bool is_valid_utf8(const std::string& bytes) {
     return g_utf8_validate(bytes.data(), static_cast<gssize>(bytes.size()), nullptr) != FALSE;
 }
 
--- a/unittests/entry/request_text_test.cpp
+++ b/unittests/entry/request_text_test.cpp
@@ -1,4 +1,4 @@
-// Request bodies and streams, as they arrive.
+// Tests of request text parsing and of the keeper client.
 
 #include "cassia/entry/keeper_client.h"
 #include "cassia/entry/request_text.h"
@@ -10,40 +10,41 @@
 using namespace cassia;
 using namespace cassia::entry;
 
-TEST_CASE("the canonical form ignores member order and white space", "[entry]") {
+TEST_CASE("the canonical form of JSON ignores member order and white space", "[entry]") {
     CHECK(canonical_body("{\"a\":1, \"b\":[1,2]}") == canonical_body(" {\"b\":[1,2],\"a\":1}"));
     CHECK(canonical_body("{\"b\":[2,1]}") != canonical_body("{\"b\":[1,2]}"));
     CHECK(canonical_body("no json") == "no json");
 }
 
-TEST_CASE("deep nesting is refused, not followed", "[entry]") {
+TEST_CASE("parse_json rejects deeply nested JSON", "[entry]") {
     CHECK_FALSE(parse_json(std::string(100000, '[')).value);
 }
 
-TEST_CASE("events come out whole, however they are cut", "[entry]") {
+TEST_CASE("event_splitter returns whole events wherever the stream is divided", "[entry]") {
     const std::string stream = "data: one\n\ndata: two\n\ndata: [DONE]\n\n";
-    for (std::size_t cut = 0; cut <= stream.size(); ++cut) {
+    for (std::size_t boundary = 0; boundary <= stream.size(); ++boundary) {
         event_splitter splitter;
         std::vector<std::string> events;
         const auto collect = [&] {
             while (std::optional<std::string> event = splitter.next())
                 events.emplace_back(event_data(*event));
         };
-        splitter.add(stream.substr(0, cut));
+        splitter.add(stream.substr(0, boundary));
         collect();
-        splitter.add(stream.substr(cut));
+        splitter.add(stream.substr(boundary));
         collect();
         REQUIRE(events == std::vector<std::string>{"one", "two", "[DONE]"});
     }
 }
 
-TEST_CASE("times are read and written", "[entry]") {
-    REQUIRE(parse_time("2026-12-03T10:00:00Z"));
-    CHECK(format_time(*parse_time("2026-12-03T12:00:00+02:00")) == "2026-12-03T10:00:00Z");
-    CHECK_FALSE(parse_time("tomorrow"));
+TEST_CASE("RFC 3339 times are parsed and formatted", "[entry]") {
+    REQUIRE(parse_rfc3339_time("2026-12-03T10:00:00Z"));
+    CHECK(format_rfc3339_time(*parse_rfc3339_time("2026-12-03T12:00:00+02:00")) ==
+          "2026-12-03T10:00:00Z");
+    CHECK_FALSE(parse_rfc3339_time("tomorrow"));
 }
 
-TEST_CASE("any bytes are JSON or a problem", "[entry][fuzz]") {
+TEST_CASE("parse_json returns either a value or an error for any input", "[entry][fuzz]") {
     const unsigned seed = 5;
     INFO("seed " << seed);
     std::mt19937 random(seed);
@@ -59,7 +60,7 @@
 
 namespace {
 
-const instant start = instant(std::chrono::seconds(1000));
+const instant start_time = instant(std::chrono::seconds(1000));
 
 struct sent_request {
     std::string to;
@@ -68,58 +69,59 @@
 
 } // namespace
 
-// Story: a submission fails although the cluster is fine. Its request went to a keeper that had
-// just lost the leadership, and nobody asked the new leader.
-TEST_CASE("a request follows the leader and resends what got lost", "[entry]") {
+// Guards against requests that fail in a healthy cluster: a request that reached a keeper which had
+// just lost the leadership must be sent again to the new leader.
+TEST_CASE("a request is redirected to the new leader and resent when its reply is lost",
+          "[entry]") {
     std::vector<sent_request> sent;
     keeper_client client({{"k1", peer_address("1")}, {"k2", peer_address("2")}},
                          [&sent](const peer_address& to, schema::envelope& message) {
                              sent.push_back({to.str(), message.request()});
                          });
-    int answers = 0;
-    schema::keeper_reply last;
+    int replies = 0;
+    schema::keeper_reply last_reply;
     client.set_leader(group_id(1), "k1");
     schema::keeper_request request;
     request.set_group(1);
     client.send_request(
         request, request_options(),
         [&](const schema::keeper_reply& reply) {
-            ++answers;
-            last = reply;
+            ++replies;
+            last_reply = reply;
         },
-        start);
+        start_time);
     REQUIRE(sent.back().to == "1");
-    schema::keeper_reply moved;
-    moved.set_id(sent.back().request.id());
-    moved.set_result(schema::keeper_reply::not_leader);
-    moved.set_leader("k2");
-    client.handle_reply(moved, start);
+    schema::keeper_reply not_leader_reply;
+    not_leader_reply.set_id(sent.back().request.id());
+    not_leader_reply.set_result(schema::keeper_reply::not_leader);
+    not_leader_reply.set_leader("k2");
+    client.handle_reply(not_leader_reply, start_time);
     client.set_leader(group_id(1), "k2");
-    client.tick(start + milliseconds(100));
+    client.tick(start_time + milliseconds(100));
     const std::uint64_t first_id = sent.front().request.id();
     CHECK(sent.back().request.id() != first_id);
-    client.tick(start + milliseconds(900));
+    client.tick(start_time + milliseconds(900));
     REQUIRE(sent.size() == 3);
-    schema::keeper_reply done;
-    done.set_id(first_id);
-    client.handle_reply(done, start + milliseconds(950));
-    CHECK(answers == 0);
-    done.set_id(sent.back().request.id());
-    client.handle_reply(done, start + milliseconds(950));
-    CHECK(answers == 1);
-    CHECK(last.result() == schema::keeper_reply::done);
-    client.tick(start + milliseconds(9000));
-    CHECK(answers == 1);
+    schema::keeper_reply final_reply;
+    final_reply.set_id(first_id);
+    client.handle_reply(final_reply, start_time + milliseconds(950));
+    CHECK(replies == 0);
+    final_reply.set_id(sent.back().request.id());
+    client.handle_reply(final_reply, start_time + milliseconds(950));
+    CHECK(replies == 1);
+    CHECK(last_reply.result() == schema::keeper_reply::done);
+    client.tick(start_time + milliseconds(9000));
+    CHECK(replies == 1);
 }
 
-TEST_CASE("patience ends with an answer", "[entry]") {
+TEST_CASE("a request without a reply fails when its timeout expires", "[entry]") {
     keeper_client client({{"k1", peer_address("1")}},
                          [](const peer_address&, schema::envelope&) {});
-    schema::keeper_reply last;
+    schema::keeper_reply last_reply;
     client.send_request(
         schema::keeper_request(), request_options{milliseconds(1000), true},
-        [&last](const schema::keeper_reply& reply) { last = reply; }, start);
-    client.tick(start + milliseconds(1000));
-    CHECK(last.result() == schema::keeper_reply::unavailable);
+        [&last_reply](const schema::keeper_reply& reply) { last_reply = reply; }, start_time);
+    client.tick(start_time + milliseconds(1000));
+    CHECK(last_reply.result() == schema::keeper_reply::unavailable);
     CHECK(client.open_requests() == 0);
 }
