--- a/include/cassia/entry/batch_task.h
+++ b/include/cassia/entry/batch_task.h
@@ -50,7 +50,7 @@
     /// Stops leasing items and returns held ones to their groups, except running items that must
     /// not run twice.
     void drain();
-    void dump(net::task& reply_task, std::function<void(std::string)> done);
+    void dump(net::task& reply_task, std::function<void(std::string)> on_dump);
 
 private:
     using item_id = std::pair<job_id, std::uint32_t>;
--- a/include/cassia/entry/control_task.h
+++ b/include/cassia/entry/control_task.h
@@ -51,9 +51,9 @@
 
     // The following functions may be called from any task.
 
-    /// Sends a request to the keepers. `done` runs on `reply_task`.
+    /// Sends a request to the keepers. `on_reply` runs on `reply_task`.
     void send_request(schema::keeper_request request, request_options options,
-                      net::task& reply_task, keeper_client::reply_callback done);
+                      net::task& reply_task, keeper_client::reply_callback on_reply);
     void record_announcement(schema::endpoint_record record);
     void report_online(std::vector<endpoint_use> uses, std::map<team_id, double> rates);
     void report_batch(std::vector<endpoint_use> uses);
@@ -62,8 +62,8 @@
     void request_yield(const endpoint_id& endpoint, std::uint32_t slots);
     /// Removes this entry from the list of entries immediately.
     void set_draining();
-    /// Passes this task's part of the state dump, as JSON, to `done` on `reply_task`.
-    void dump(net::task& reply_task, std::function<void(std::string)> done);
+    /// Passes this task's part of the state dump, as JSON, to `on_dump` on `reply_task`.
+    void dump(net::task& reply_task, std::function<void(std::string)> on_dump);
 
     /// This process's name and incarnation, which identify it as the holder of leases.
     const std::string& holder() const { return holder_; }
--- a/include/cassia/entry/http_task.h
+++ b/include/cassia/entry/http_task.h
@@ -57,8 +57,8 @@
 struct http_task_hooks {
     /// Runs on the HTTP task.
     std::function<void(batch_capacities)> on_batch_capacities;
-    /// Requests the batch task's part of the state dump, as JSON; `done` runs on the HTTP task.
-    std::function<void(std::function<void(std::string)> done)> dump_batch;
+    /// Requests the batch task's part of the state dump, as JSON; `on_dump` runs on the HTTP task.
+    std::function<void(std::function<void(std::string)> on_dump)> dump_batch;
     std::function<void()> drain_batch;
     std::function<void()> on_drained;
 };
--- a/lib/entry/batch_leases.cpp
+++ b/lib/entry/batch_leases.cpp
@@ -30,10 +30,10 @@
 // For each service, the number of items to lease: twice what could run now, less those already
 // held, so that an item is available as soon as a slot becomes free.
 std::map<service_id, std::uint32_t> batch_task::items_to_lease() const {
-    std::map<service_id, std::uint32_t> wanted;
+    std::map<service_id, std::uint32_t> item_counts;
     const instant now = monotonic_now();
     if (draining_ || view_->stale || items_.size() >= settings_.batch_window())
-        return wanted;
+        return item_counts;
     for (const policy::endpoint_facts& facts : view_->endpoints) {
         auto state = endpoints_.find(facts.id);
         const bool has_capacity = state != endpoints_.end() && state->second.capacity.slots > 0 &&
@@ -41,24 +41,24 @@
         if (!has_capacity)
             continue;
         if (!facts.engine) {
-            wanted[facts.service] += 2 * state->second.capacity.slots;
+            item_counts[facts.service] += 2 * state->second.capacity.slots;
             continue;
         }
         for (const std::pair<const service_id, policy::served_model>& model : facts.models)
-            wanted[model.first] += 2 * state->second.capacity.slots;
+            item_counts[model.first] += 2 * state->second.capacity.slots;
     }
     std::map<service_id, std::uint32_t> held;
     for (const std::pair<const item_id, batch_item>& known_item : items_)
         ++held[known_item.second.service];
     const std::size_t window_left = settings_.batch_window() - items_.size();
-    for (auto service = wanted.begin(); service != wanted.end();) {
+    for (auto service = item_counts.begin(); service != item_counts.end();) {
         const std::uint32_t held_count = held[service->first];
         service->second = service->second > held_count ? service->second - held_count : 0;
         service->second =
             static_cast<std::uint32_t>(std::min<std::size_t>(service->second, window_left));
-        service = service->second == 0 ? wanted.erase(service) : std::next(service);
+        service = service->second == 0 ? item_counts.erase(service) : std::next(service);
     }
-    return wanted;
+    return item_counts;
 }
 
 // Asks one group at a time, in rotation. Each group holds a part of the jobs, and an entry needs
@@ -68,14 +68,14 @@
     const std::uint32_t groups = settings_.cluster().work_groups();
     if (!groups_leasing_.empty() || now < next_lease_at_)
         return;
-    const std::map<service_id, std::uint32_t> wanted = items_to_lease();
-    if (wanted.empty())
+    const std::map<service_id, std::uint32_t> item_counts = items_to_lease();
+    if (item_counts.empty())
         return;
     const group_id group(1 + next_lease_group_++ % groups);
     schema::keeper_request request;
     request.set_group(static_cast<std::uint32_t>(group.value()));
     request.mutable_lease()->set_holder(control_.holder());
-    for (const std::pair<const service_id, std::uint32_t>& service : wanted) {
+    for (const std::pair<const service_id, std::uint32_t>& service : item_counts) {
         schema::lease_want* want = request.mutable_lease()->add_wants();
         want->set_service(service.first.str());
         want->set_limit(service.second);
--- a/lib/entry/batch_task.cpp
+++ b/lib/entry/batch_task.cpp
@@ -143,26 +143,26 @@
     request_leases();
 }
 
-void batch_task::dump(net::task& reply_task, std::function<void(std::string)> done) {
-    task_.post([this, &reply_task, done = std::move(done)] {
-        boost::json::object out;
-        out["held"] = items_.size();
-        out["draining"] = draining_;
+void batch_task::dump(net::task& reply_task, std::function<void(std::string)> on_dump) {
+    task_.post([this, &reply_task, on_dump = std::move(on_dump)] {
+        boost::json::object dump;
+        dump["held"] = items_.size();
+        dump["draining"] = draining_;
         std::size_t ends = 0;
         for (const auto& group : unconfirmed_ends_)
             ends += group.second.size();
-        out["ends_waiting"] = ends;
+        dump["ends_waiting"] = ends;
         for (const char* name :
              {"items_leased", "items_started", "items_ended", "items_stopped_for_online",
               "items_stopped_for_reserve", "items_failed_runs"})
-            out[name] = metrics_.counter(name);
+            dump[name] = metrics_.counter(name);
         boost::json::array seats;
         for (const std::pair<const endpoint_id, endpoint_state>& endpoint : endpoints_)
             seats.push_back({{"endpoint", endpoint.first.str()},
                              {"slots", endpoint.second.capacity.slots},
                              {"running", endpoint.second.running.size()}});
-        out["seats"] = std::move(seats);
-        reply_task.post([done, text = boost::json::serialize(out)] { done(text); });
+        dump["seats"] = std::move(seats);
+        reply_task.post([on_dump, json = boost::json::serialize(dump)] { on_dump(json); });
     });
 }
 
--- a/lib/entry/control_task.cpp
+++ b/lib/entry/control_task.cpp
@@ -61,15 +61,16 @@
 }
 
 void control_task::send_request(schema::keeper_request request, request_options options,
-                                net::task& reply_task, keeper_client::reply_callback done) {
-    task_.post([this, request = std::move(request), options, &reply_task, done = std::move(done)] {
-        keepers_.send_request(
-            request, options,
-            [&reply_task, done](schema::keeper_reply reply) {
-                reply_task.post([done, reply = std::move(reply)] { done(reply); });
-            },
-            monotonic_now());
-    });
+                                net::task& reply_task, keeper_client::reply_callback on_reply) {
+    task_.post(
+        [this, request = std::move(request), options, &reply_task, on_reply = std::move(on_reply)] {
+            keepers_.send_request(
+                request, options,
+                [&reply_task, on_reply](schema::keeper_reply reply) {
+                    reply_task.post([on_reply, reply = std::move(reply)] { on_reply(reply); });
+                },
+                monotonic_now());
+        });
 }
 
 void control_task::record_announcement(schema::endpoint_record record) {
@@ -145,9 +146,9 @@
     });
 }
 
-void control_task::dump(net::task& reply_task, std::function<void(std::string)> done) {
-    task_.post([this, &reply_task, done = std::move(done)] {
-        reply_task.post([done, text = dump_json()] { done(text); });
+void control_task::dump(net::task& reply_task, std::function<void(std::string)> on_dump) {
+    task_.post([this, &reply_task, on_dump = std::move(on_dump)] {
+        reply_task.post([on_dump, json = dump_json()] { on_dump(json); });
     });
 }
 
--- a/lib/entry/control_view.cpp
+++ b/lib/entry/control_view.cpp
@@ -76,13 +76,13 @@
 
 std::string control_task::dump_json() const {
     const instant now = monotonic_now();
-    boost::json::object out;
-    out["holder"] = holder_;
-    out["config_version"] = config_.version();
-    out["stale"] = freshness_.is_stale(now);
-    out["beacon_age_ms"] = freshness_.age(now).count();
-    out["draining"] = draining_;
-    out["open_keeper_requests"] = keepers_.open_requests();
+    boost::json::object dump;
+    dump["holder"] = holder_;
+    dump["config_version"] = config_.version();
+    dump["stale"] = freshness_.is_stale(now);
+    dump["beacon_age_ms"] = freshness_.age(now).count();
+    dump["draining"] = draining_;
+    dump["open_keeper_requests"] = keepers_.open_requests();
     boost::json::array endpoints;
     const std::vector<const schema::entry_hello*> live_entries = entries_.alive(now);
     for (const std::pair<const endpoint_id, membership::endpoint_entry>& known : directory_.all()) {
@@ -97,7 +97,7 @@
              {"max_running", record.max_running()},
              {"steward", membership::steward_of(known.first, record.zone(), live_entries).str()}});
     }
-    out["endpoints"] = std::move(endpoints);
+    dump["endpoints"] = std::move(endpoints);
     boost::json::array entries;
     for (const schema::entry_hello* hello : live_entries)
         entries.push_back({{"entry", hello->entry()},
@@ -106,13 +106,13 @@
                            {"config_version", hello->config_version()},
                            {"draining", hello->draining()},
                            {"stale", hello->stale()}});
-    out["entries"] = std::move(entries);
+    dump["entries"] = std::move(entries);
     boost::json::array strikes;
     for (const policy::strike& strike : strikes_.all(now))
         strikes.push_back(
             {{"fingerprint", strike.request.str()}, {"endpoint", strike.endpoint.str()}});
-    out["strikes"] = std::move(strikes);
-    return boost::json::serialize(out);
+    dump["strikes"] = std::move(strikes);
+    return boost::json::serialize(dump);
 }
 
 } // namespace cassia::entry
--- a/lib/entry/crash_tracker.cpp
+++ b/lib/entry/crash_tracker.cpp
@@ -19,32 +19,32 @@
     : task_(task), client_(client), control_(control), on_strike_(std::move(on_strike)),
       strikes_(policy::strike_memory) {}
 
-void crash_tracker::probe(const http_address& address, std::function<void(bool dead)> done) {
-    send_probe(address, std::move(done), max_probes);
+void crash_tracker::probe(const http_address& address, std::function<void(bool dead)> on_result) {
+    send_probe(address, std::move(on_result), max_probes);
 }
 
 // A probe sent after the exiting process has closed the request's connection, but before it closes
 // its listening socket, is accepted and then reset. Counting that as a sign of life would leave the
 // request that caused the crash without a strike, and it could go on to crash a third engine.
-void crash_tracker::send_probe(const http_address& address, std::function<void(bool dead)> done,
-                               int probes_left) {
-    net::http_call call;
-    call.to = address;
-    call.path = "/health";
-    call.fresh_connection = true;
-    call.progress_timeout = probe_timeout;
-    net::fetch(client_, call,
-               [this, address, probes_left, done = std::move(done)](
+void crash_tracker::send_probe(const http_address& address,
+                               std::function<void(bool dead)> on_result, int probes_left) {
+    net::http_call probe_request;
+    probe_request.to = address;
+    probe_request.path = "/health";
+    probe_request.fresh_connection = true;
+    probe_request.progress_timeout = probe_timeout;
+    net::fetch(client_, probe_request,
+               [this, address, probes_left, on_result = std::move(on_result)](
                    const outcome<net::http_answer, net::http_failure>& answer) {
                    const bool broken =
                        !answer && answer.error().cause.code == net::errc::connection_lost;
                    if (broken && probes_left > 1) {
-                       task_.after(probe_retry_delay, [this, address, probes_left, done] {
-                           send_probe(address, done, probes_left - 1);
+                       task_.after(probe_retry_delay, [this, address, probes_left, on_result] {
+                           send_probe(address, on_result, probes_left - 1);
                        });
                        return;
                    }
-                   done(!answer && answer.error().cause.code == net::errc::cannot_connect);
+                   on_result(!answer && answer.error().cause.code == net::errc::cannot_connect);
                });
 }
 
@@ -67,9 +67,9 @@
 }
 
 void crash_tracker::add_strikes(const std::vector<fingerprint>& requests,
-                                const endpoint_id& endpoint, instant at) {
+                                const endpoint_id& endpoint, instant time) {
     for (const fingerprint& request : requests) {
-        const policy::strike new_strike{request, endpoint, at};
+        const policy::strike new_strike{request, endpoint, time};
         strikes_.add(new_strike);
         control_.add_strike(new_strike);
         if (on_strike_)
--- a/lib/entry/online_answers.cpp
+++ b/lib/entry/online_answers.cpp
@@ -172,14 +172,14 @@
 }
 
 boost::json::object online_calls::dump(instant now) const {
-    boost::json::object out;
-    out["open_calls"] = calls_.size();
-    out["waiting"] = waiting_.size();
-    out["ends_per_second"] = completions_per_second_;
+    boost::json::object dump;
+    dump["open_calls"] = calls_.size();
+    dump["waiting"] = waiting_.size();
+    dump["ends_per_second"] = completions_per_second_;
     boost::json::array ejected;
     for (const endpoint_id& endpoint : router_.ejected(now))
         ejected.push_back(boost::json::string(endpoint.str()));
-    out["ejected"] = std::move(ejected);
+    dump["ejected"] = std::move(ejected);
     boost::json::array endpoints;
     for (const policy::endpoint_facts& facts : context_.view->endpoints) {
         boost::json::object endpoint;
@@ -191,8 +191,8 @@
             endpoint["batch_reserve"] = endpoint_batch_slots->second.reserve();
         endpoints.push_back(std::move(endpoint));
     }
-    out["endpoints"] = std::move(endpoints);
-    return out;
+    dump["endpoints"] = std::move(endpoints);
+    return dump;
 }
 
 } // namespace cassia::entry
--- a/lib/entry/request_text.cpp
+++ b/lib/entry/request_text.cpp
@@ -53,9 +53,9 @@
 }
 
 std::string canonical_json(const boost::json::value& value) {
-    std::string out;
-    append_canonical(value, out);
-    return out;
+    std::string text;
+    append_canonical(value, text);
+    return text;
 }
 
 std::string canonical_body(std::string_view body) {
@@ -153,10 +153,10 @@
     GDateTime* utc =
         g_date_time_new_from_unix_utc(static_cast<gint64>(to_unix_ms(time)) / ms_per_second);
     char* text = g_date_time_format(utc, "%Y-%m-%dT%H:%M:%SZ");
-    std::string out(text);
+    std::string formatted(text);
     g_free(text);
     g_date_time_unref(utc);
-    return out;
+    return formatted;
 }
 
 bool is_valid_utf8(const std::string& bytes) {
@@ -165,9 +165,9 @@
 
 std::string escape_path(const std::string& path) {
     char* escaped = g_uri_escape_string(path.c_str(), "/", FALSE);
-    std::string out(escaped);
+    std::string result(escaped);
     g_free(escaped);
-    return out;
+    return result;
 }
 
 } // namespace cassia::entry
--- a/lib/entry/service.cpp
+++ b/lib/entry/service.cpp
@@ -21,14 +21,15 @@
             http_task_hooks{[this](batch_capacities capacities) {
                                 batch_.set_capacities(std::move(capacities));
                             },
-                            [this](std::function<void(std::string)> done) {
-                                batch_.dump(http_.task(), std::move(done));
+                            [this](std::function<void(std::string)> on_dump) {
+                                batch_.dump(http_.task(), std::move(on_dump));
                             },
                             [this] { batch_.drain(); }, [] {}}),
-      batch_(settings, control_,
-             batch_task_hooks{
-                 [this](std::vector<endpoint_use> uses) { http_.set_batch_uses(std::move(uses)); },
-                 [this](decision made) { http_.add_decision(std::move(made)); }}) {}
+      batch_(
+          settings, control_,
+          batch_task_hooks{
+              [this](std::vector<endpoint_use> uses) { http_.set_batch_uses(std::move(uses)); },
+              [this](decision decision_made) { http_.add_decision(std::move(decision_made)); }}) {}
 
 std::string service::open() {
     std::string error = control_.open();
