--- a/include/cassia/gateway/cluster_client.h
+++ b/include/cassia/gateway/cluster_client.h
@@ -60,8 +60,8 @@
     void set_seeds(const std::vector<std::string>& seeds);
 
     /// Sends a request to the leader of a group; see entry::keeper_client.
-    void send_request(schema::keeper_request request, entry::ask_options options,
-                      entry::keeper_client::reply_function done);
+    void send_request(schema::keeper_request request, entry::request_options options,
+                      entry::keeper_client::reply_callback done);
     /// Tells the group's leader, if it is known, which items are held. Sent once, without a reply.
     void send_held_items(schema::held_items held, group_id group);
     /// Sends the slots in use here to other gateways when due.
--- a/lib/gateway/cluster_client.cpp
+++ b/lib/gateway/cluster_client.cpp
@@ -93,9 +93,9 @@
     send_heartbeat(heartbeat_scope::all_keepers);
 }
 
-void cluster_client::send_request(schema::keeper_request request, entry::ask_options options,
-                                  entry::keeper_client::reply_function done) {
-    keeper_client_.ask(std::move(request), options, std::move(done), monotonic_now());
+void cluster_client::send_request(schema::keeper_request request, entry::request_options options,
+                                  entry::keeper_client::reply_callback done) {
+    keeper_client_.send_request(std::move(request), options, std::move(done), monotonic_now());
 }
 
 void cluster_client::send_held_items(schema::held_items held, group_id group) {
@@ -167,7 +167,7 @@
         on_beacon(message.beacon());
         break;
     case schema::envelope::kReply:
-        keeper_client_.receive(message.reply(), monotonic_now());
+        keeper_client_.handle_reply(message.reply(), monotonic_now());
         break;
     case schema::envelope::kStale:
         hooks_.on_stale_items(message.stale());
@@ -195,7 +195,7 @@
         if (leader != from)
             log_info("leader_known").with("group", group).with("keeper", from.str());
         leader = from;
-        keeper_client_.leads(group_id(group), from.str());
+        keeper_client_.set_leader(group_id(group), from.str());
     }
     if (beacon.directory_epoch() != 0)
         on_control_beacon(beacon, now);
--- a/lib/gateway/job_service.cpp
+++ b/lib/gateway/job_service.cpp
@@ -56,8 +56,8 @@
     }
     const group_id group = state::group_of_job(job, work_groups_);
     request.set_group(static_cast<std::uint32_t>(group.value()));
-    entry::ask_options options;
-    options.patience = request_timeout;
+    entry::request_options options;
+    options.timeout = request_timeout;
     cluster_.send_request(std::move(request), options,
                           [done = std::move(done)](const schema::keeper_reply& reply) {
                               done(to_outcome(reply), reply.work());
--- a/lib/gateway/service.cpp
+++ b/lib/gateway/service.cpp
@@ -291,8 +291,8 @@
     schema::lease_want* want = request.mutable_lease()->add_wants();
     want->set_service(route);
     want->set_limit(limit);
-    entry::ask_options options;
-    options.patience = lease_timeout;
+    entry::request_options options;
+    options.timeout = lease_timeout;
     // Not resent: a request that was thought lost could be granted leases in addition to its
     // repetition.
     options.resend = false;
@@ -311,8 +311,8 @@
     // Durable only once all groups have stored their part; ends that are reported twice count once.
     std::shared_ptr<std::size_t> pending_groups = std::make_shared<std::size_t>(by_group.size());
     std::shared_ptr<bool> all_durable = std::make_shared<bool>(true);
-    entry::ask_options options;
-    options.patience = report_timeout;
+    entry::request_options options;
+    options.timeout = report_timeout;
     for (std::pair<const group_id, schema::items_end>& part : by_group) {
         part.second.set_holder(cluster_->lease_holder());
         part.second.set_at(to_unix_ms(wall_now()));
