--- a/include/cassia/entry/batch_task.h
+++ b/include/cassia/entry/batch_task.h
@@ -4,10 +4,10 @@
 #pragma once
 
 #include "cassia/base/metrics.h"
+#include "cassia/entry/cluster_view.h"
 #include "cassia/entry/control_task.h"
 #include "cassia/entry/crash_tracker.h"
 #include "cassia/entry/decision_log.h"
-#include "cassia/entry/fleet_view.h"
 #include "cassia/entry/http_task.h"
 #include "cassia/entry/request_text.h"
 #include "cassia/net/http_client.h"
@@ -42,7 +42,7 @@
     void stop();
 
     // The following functions may be called from any task.
-    void set_view(fleet_view_ptr view);
+    void set_view(cluster_view_ptr view);
     void set_capacities(batch_capacities capacities);
     /// Stops up to this many batch items at an endpoint, to free their slots for online calls.
     void yield(const endpoint_id& endpoint, std::uint32_t slots);
@@ -123,7 +123,7 @@
     net::http_client client_;
     metrics metrics_;
     crash_tracker crash_tracker_;
-    fleet_view_ptr view_;
+    cluster_view_ptr view_;
     std::map<endpoint_id, endpoint_state> endpoints_;
     std::map<item_id, batch_item> items_;
     std::map<service_id, std::deque<item_id>> queues_; ///< items that wait for a slot
--- a/include/cassia/entry/fleet_view.h
+++ b/include/cassia/entry/cluster_view.h
@@ -22,7 +22,7 @@
     zone_id zone;
 };
 
-struct fleet_view {
+struct cluster_view {
     std::vector<policy::endpoint_facts> endpoints; ///< endpoints that may get new work
     std::vector<listed_entry> entries;             ///< entries that accept new requests
     std::uint64_t entries_version = 0;
@@ -37,8 +37,8 @@
 };
 
 /// The endpoint with this id, or null if it may not get new work.
-const policy::endpoint_facts* find_endpoint(const fleet_view& view, const endpoint_id& id);
+const policy::endpoint_facts* find_endpoint(const cluster_view& view, const endpoint_id& id);
 
-using fleet_view_ptr = std::shared_ptr<const fleet_view>;
+using cluster_view_ptr = std::shared_ptr<const cluster_view>;
 
 } // namespace cassia::entry
--- a/include/cassia/entry/control_task.h
+++ b/include/cassia/entry/control_task.h
@@ -3,7 +3,7 @@
 #pragma once
 
 #include "cassia/base/metrics.h"
-#include "cassia/entry/fleet_view.h"
+#include "cassia/entry/cluster_view.h"
 #include "cassia/entry/keeper_client.h"
 #include "cassia/membership/directory.h"
 #include "cassia/membership/entry_list.h"
@@ -31,7 +31,7 @@
 
 struct control_task_hooks {
     /// All hooks run on the control task.
-    std::function<void(fleet_view_ptr)> on_view_changed;
+    std::function<void(cluster_view_ptr)> on_view_changed;
     std::function<void(const endpoint_id&, std::uint32_t slots)> on_yield;
     std::function<void(const std::vector<job_id>&)> on_jobs_cancelled;
 };
--- a/include/cassia/entry/http_task.h
+++ b/include/cassia/entry/http_task.h
@@ -3,9 +3,9 @@
 #pragma once
 
 #include "cassia/base/metrics.h"
+#include "cassia/entry/cluster_view.h"
 #include "cassia/entry/control_task.h"
 #include "cassia/entry/decision_log.h"
-#include "cassia/entry/fleet_view.h"
 #include "cassia/entry/refusal.h"
 #include "cassia/net/http_client.h"
 #include "cassia/net/http_server.h"
@@ -34,7 +34,7 @@
     metrics& counters;
     decision_log& decisions;
     net::http_server* server = nullptr;
-    fleet_view_ptr view;
+    cluster_view_ptr view;
     bool draining = false;
 
     /// Answers the exchange with an error.
@@ -74,7 +74,7 @@
     void run();
 
     // The following functions may be called from any task.
-    void set_view(fleet_view_ptr view);
+    void set_view(cluster_view_ptr view);
     void set_batch_uses(std::vector<endpoint_use> uses);
     /// Adds a decision made by another task to the decision log.
     void add_decision(decision added);
--- a/lib/entry/batch_task.cpp
+++ b/lib/entry/batch_task.cpp
@@ -22,7 +22,7 @@
                        batch_task_hooks hooks)
     : settings_(settings), control_(control), hooks_(std::move(hooks)), task_("batch"),
       client_(task_, max_connections_per_endpoint, net::ip_of(settings.http_address())),
-      crash_tracker_(task_, client_, control, {}), view_(std::make_shared<fleet_view>()) {
+      crash_tracker_(task_, client_, control, {}), view_(std::make_shared<cluster_view>()) {
     task_.every(tick_interval, [this] { tick(); });
     task_.every(held_items_interval, [this] { report_held_items(); });
 }
@@ -38,7 +38,7 @@
     task_.stop();
 }
 
-void batch_task::set_view(fleet_view_ptr view) {
+void batch_task::set_view(cluster_view_ptr view) {
     task_.post([this, view = std::move(view)] {
         view_ = view;
         crash_tracker_.merge_strikes(view_->strikes);
--- a/lib/entry/fleet_view.cpp
+++ b/lib/entry/cluster_view.cpp
@@ -1,10 +1,10 @@
-#include "cassia/entry/fleet_view.h"
+#include "cassia/entry/cluster_view.h"
 
 #include <algorithm>
 
 namespace cassia::entry {
 
-const policy::endpoint_facts* find_endpoint(const fleet_view& view, const endpoint_id& id) {
+const policy::endpoint_facts* find_endpoint(const cluster_view& view, const endpoint_id& id) {
     auto found =
         std::find_if(view.endpoints.begin(), view.endpoints.end(),
                      [&id](const policy::endpoint_facts& endpoint) { return endpoint.id == id; });
--- a/lib/entry/control_view.cpp
+++ b/lib/entry/control_view.cpp
@@ -1,4 +1,4 @@
-// Builds the fleet view for the other tasks and the control task's part of the state dump.
+// Builds the cluster view for the other tasks and the control task's part of the state dump.
 
 #include "cassia/entry/control_task.h"
 
@@ -54,7 +54,7 @@
 
 void control_task::publish_view() {
     const instant now = monotonic_now();
-    std::shared_ptr<fleet_view> view = std::make_shared<fleet_view>();
+    std::shared_ptr<cluster_view> view = std::make_shared<cluster_view>();
     view->endpoints = endpoint_facts(now);
     view->entries_version = entries_.version(now);
     for (const schema::entry_hello* entry : entries_.open(now))
--- a/lib/entry/http_task.cpp
+++ b/lib/entry/http_task.cpp
@@ -37,7 +37,7 @@
     : settings_(settings), hooks_(std::move(hooks)), task_("front"),
       decisions_(max_kept_decisions), context_{settings_,  task_,   control, metrics_,
                                                decisions_, nullptr, nullptr, false} {
-    context_.view = std::make_shared<fleet_view>();
+    context_.view = std::make_shared<cluster_view>();
 }
 
 http_task::~http_task() = default;
@@ -89,7 +89,7 @@
     task_.run();
 }
 
-void http_task::set_view(fleet_view_ptr view) {
+void http_task::set_view(cluster_view_ptr view) {
     task_.post([this, view = std::move(view)] {
         context_.view = view;
         online_->on_view_changed();
--- a/lib/entry/service.cpp
+++ b/lib/entry/service.cpp
@@ -9,7 +9,7 @@
 service::service(const schema::entry_settings& settings)
     : control_(settings,
                control_task_hooks{
-                   [this](const fleet_view_ptr& view) {
+                   [this](const cluster_view_ptr& view) {
                        http_.set_view(view);
                        batch_.set_view(view);
                    },
