--- a/include/cassia/entry/batch_task.h
+++ b/include/cassia/entry/batch_task.h
@@ -4,10 +4,10 @@
 #pragma once
 
 #include "cassia/base/metrics.h"
-#include "cassia/entry/cluster_view.h"
 #include "cassia/entry/control_task.h"
 #include "cassia/entry/crash_tracker.h"
 #include "cassia/entry/decision_log.h"
+#include "cassia/entry/fleet_view.h"
 #include "cassia/entry/http_task.h"
 #include "cassia/entry/request_text.h"
 #include "cassia/net/http_client.h"
--- a/include/cassia/entry/control_task.h
+++ b/include/cassia/entry/control_task.h
@@ -3,7 +3,7 @@
 #pragma once
 
 #include "cassia/base/metrics.h"
-#include "cassia/entry/cluster_view.h"
+#include "cassia/entry/fleet_view.h"
 #include "cassia/entry/keeper_client.h"
 #include "cassia/membership/directory.h"
 #include "cassia/membership/entry_list.h"
--- a/include/cassia/entry/http_task.h
+++ b/include/cassia/entry/http_task.h
@@ -3,9 +3,9 @@
 #pragma once
 
 #include "cassia/base/metrics.h"
-#include "cassia/entry/cluster_view.h"
 #include "cassia/entry/control_task.h"
 #include "cassia/entry/decision_log.h"
+#include "cassia/entry/fleet_view.h"
 #include "cassia/entry/refusal.h"
 #include "cassia/net/http_client.h"
 #include "cassia/net/http_server.h"
@@ -38,7 +38,7 @@
     bool draining = false;
 
     /// Answers the exchange with an error.
-    void refuse(exchange_id exchange, const refusal& refused, const std::string& request_id);
+    void reject(exchange_id exchange, const rejection& rejected, const std::string& request_id);
 };
 
 /// A caller that presented a known API key.
--- a/include/cassia/entry/online_calls.h
+++ b/include/cassia/entry/online_calls.h
@@ -92,10 +92,10 @@
     void enqueue(call_state& call);
     double expected_wait_s() const;
     bool can_meet_deadline(const call_state& call) const;
-    void refuse_before_admission(const call_state& call, const refusal& refused);
+    void reject_before_admission(const call_state& call, const rejection& rejected);
 
     // Queue maintenance and termination (online_calls.cpp).
-    void refuse(exchange_id exchange, refusal refused);
+    void reject(exchange_id exchange, rejection rejected);
     bool cancel_call(call_state& call);
     void remove(exchange_id exchange);
     void refresh_rate_limits();
--- a/include/cassia/entry/refusal.h
+++ b/include/cassia/entry/refusal.h
@@ -11,7 +11,7 @@
 /// Whether the request was executed. `no` guarantees that no endpoint received it.
 enum class run_state { no, maybe, yes };
 
-enum class refusal_code {
+enum class rejection_code {
     bad_request,      ///< 400
     unauthorized,     ///< 401
     not_allowed,      ///< 403
@@ -33,8 +33,8 @@
     deadline,         ///< 504
 };
 
-struct refusal {
-    refusal_code code = refusal_code::bad_request;
+struct rejection {
+    rejection_code code = rejection_code::bad_request;
     std::string message;
     run_state run = run_state::no;
     milliseconds retry_after{0}; ///< zero: a retry would not help
@@ -43,13 +43,13 @@
 /// Used for `retry_after` where no better estimate is available.
 inline constexpr milliseconds default_retry_after(1000);
 
-int http_status_of(refusal_code code);
-const char* refusal_code_name(refusal_code code);
+int http_status_of(rejection_code code);
+const char* rejection_code_name(rejection_code code);
 const char* run_state_name(run_state run);
 
-net::http_response to_http_response(const refusal& refused, const std::string& request_id);
+net::http_response to_http_response(const rejection& rejected, const std::string& request_id);
 
-/// The refusal as a server-sent event, for a stream that has already begun.
-std::string to_sse_event(const refusal& refused, const std::string& request_id);
+/// The error as a server-sent event, for a stream that has already begun.
+std::string to_sse_event(const rejection& rejected, const std::string& request_id);
 
 } // namespace cassia::entry
--- a/lib/entry/announce_api.cpp
+++ b/lib/entry/announce_api.cpp
@@ -145,20 +145,20 @@
 void announce_api::serve(exchange_id exchange, const net::http_request& request,
                          const std::string& request_id) {
     if (!has_token(request, context_.settings.endpoint_token_sha256())) {
-        context_.refuse(exchange, {refusal_code::unauthorized, "unknown endpoint token"},
+        context_.reject(exchange, {rejection_code::unauthorized, "unknown endpoint token"},
                         request_id);
         return;
     }
     const json_parse_result parsed = parse_json(request.body);
     if (request.method != "POST" || !parsed.value || !parsed.value->is_object()) {
-        context_.refuse(exchange, {refusal_code::bad_request, "expected a JSON announcement"},
+        context_.reject(exchange, {rejection_code::bad_request, "expected a JSON announcement"},
                         request_id);
         return;
     }
     announcement_reader reader(parsed.value->as_object());
     schema::endpoint_record record = read_announcement(parsed.value->as_object(), reader);
     if (!reader.error().empty()) {
-        context_.refuse(exchange, {refusal_code::bad_request, reader.error()}, request_id);
+        context_.reject(exchange, {rejection_code::bad_request, reader.error()}, request_id);
         return;
     }
     context_.control.record_announcement(std::move(record));
--- a/lib/entry/batch_api.cpp
+++ b/lib/entry/batch_api.cpp
@@ -83,14 +83,14 @@
         std::move(request), request_options(), context_.task,
         [this, exchange, request_id, on_reply](const schema::keeper_reply& reply) {
             if (reply.result() != schema::keeper_reply::done) {
-                context_.refuse(exchange,
-                                {refusal_code::no_quorum, "the durable state can't be reached",
+                context_.reject(exchange,
+                                {rejection_code::no_quorum, "the durable state can't be reached",
                                  run_state::no, default_retry_after},
                                 request_id);
                 return;
             }
             if (reply.work().result() == schema::work_reply::missing) {
-                context_.refuse(exchange, {refusal_code::not_found, "no such job or item"},
+                context_.reject(exchange, {rejection_code::not_found, "no such job or item"},
                                 request_id);
                 return;
             }
@@ -101,8 +101,8 @@
 void batch_api::serve(exchange_id exchange, const net::http_request& request,
                       const authenticated_caller& caller, const std::string& request_id) {
     if (context_.view->stale) {
-        context_.refuse(exchange,
-                        {refusal_code::stale, "this entry is cut off from the configuration",
+        context_.reject(exchange,
+                        {rejection_code::stale, "this entry is cut off from the configuration",
                          run_state::no, default_retry_after},
                         request_id);
         return;
@@ -114,7 +114,7 @@
         else if (method == "GET")
             list_jobs(exchange, caller, request_id);
         else
-            context_.refuse(exchange, {refusal_code::bad_method, "expected GET or POST"},
+            context_.reject(exchange, {rejection_code::bad_method, "expected GET or POST"},
                             request_id);
         return;
     }
@@ -134,7 +134,7 @@
         const std::from_chars_result parsed =
             std::from_chars(first_text.data(), end, first_ordinal);
         if (!first_text.empty() && (parsed.ec != std::errc() || parsed.ptr != end))
-            context_.refuse(exchange, {refusal_code::bad_request, "from: expected a number"},
+            context_.reject(exchange, {rejection_code::bad_request, "from: expected a number"},
                             request_id);
         else
             stream_results(exchange, job, first_ordinal, caller.plan->team.str(), request_id,
@@ -142,7 +142,7 @@
     } else if (action.compare(0, items_prefix.size(), items_prefix) == 0 && method == "GET") {
         show_item(exchange, job, action.substr(items_prefix.size()), caller, request_id);
     } else {
-        context_.refuse(exchange, {refusal_code::not_found, "no such path"}, request_id);
+        context_.reject(exchange, {rejection_code::not_found, "no such path"}, request_id);
     }
 }
 
@@ -210,7 +210,7 @@
         exchange, request_id, group_of(job), command,
         [this, exchange, request_id](const schema::work_reply& reply) {
             if (reply.result() == schema::work_reply::missing)
-                context_.refuse(exchange, {refusal_code::not_found, "no such job"}, request_id);
+                context_.reject(exchange, {rejection_code::not_found, "no such job"}, request_id);
             else
                 respond_with_job(exchange, request_id, 200, reply.job());
         });
--- a/lib/entry/batch_submission.cpp
+++ b/lib/entry/batch_submission.cpp
@@ -26,13 +26,13 @@
 
 struct parsed_item {
     schema::item_body item;
-    refusal_code code = refusal_code::bad_request;
+    rejection_code code = rejection_code::bad_request;
     std::string error;
 };
 
 struct parsed_items {
     std::vector<schema::item_body> items;
-    std::optional<refusal> refused;
+    std::optional<rejection> rejected;
     std::string digest; ///< SHA-256 over the digests of the canonical forms of all lines
 };
 
@@ -105,7 +105,7 @@
     if (service_name.empty()) {
         parsed.error = "body.model: expected a string";
     } else if (!allowed) {
-        parsed.code = refusal_code::not_allowed;
+        parsed.code = rejection_code::not_allowed;
         parsed.error = "the plan doesn't allow '" + service_name + "' in this version or adapter";
     }
     return parsed;
@@ -130,15 +130,16 @@
         if (parsed_line.error.empty() && !custom_ids.insert(parsed_line.item.custom_id()).second)
             parsed_line.error = "custom_id: '" + parsed_line.item.custom_id() + "' stands twice";
         if (!parsed_line.error.empty()) {
-            parsed.refused = refusal{parsed_line.code, "line " + std::to_string(line_number) +
-                                                           ": " + parsed_line.error};
+            parsed.rejected = rejection{parsed_line.code, "line " + std::to_string(line_number) +
+                                                              ": " + parsed_line.error};
             return parsed;
         }
         digests += sha256_hex(canonical_body(line));
         parsed.items.push_back(std::move(parsed_line.item));
     }
     if (parsed.items.empty())
-        parsed.refused = refusal{refusal_code::bad_request, "expected JSON Lines, an item a line"};
+        parsed.rejected =
+            rejection{rejection_code::bad_request, "expected JSON Lines, an item a line"};
     parsed.digest = sha256_hex(digests);
     return parsed;
 }
@@ -189,12 +190,12 @@
                        const authenticated_caller& caller, const std::string& request_id) {
     parsed_items items = parse_items(request.body, caller);
     const parsed_deadline deadline = parse_deadline(request);
-    if (items.refused) {
-        context_.refuse(exchange, *items.refused, request_id);
+    if (items.rejected) {
+        context_.reject(exchange, *items.rejected, request_id);
         return;
     }
     if (!deadline.error.empty()) {
-        context_.refuse(exchange, {refusal_code::bad_request, deadline.error}, request_id);
+        context_.reject(exchange, {rejection_code::bad_request, deadline.error}, request_id);
         return;
     }
     // The job's id is derived from the request, so that a resend refers to the same job no matter
@@ -231,8 +232,8 @@
                 on_reply(reply.work());
                 return;
             }
-            context_.refuse(exchange,
-                            {refusal_code::no_quorum,
+            context_.reject(exchange,
+                            {rejection_code::no_quorum,
                              "the durable state can't be reached; a resend is the same job",
                              run_state::maybe, default_retry_after},
                             request_id);
@@ -246,9 +247,9 @@
     send_command(submission->exchange, submission->request_id, group_of(submission->begin.job()),
                  command, [this, submission](const schema::work_reply& reply) {
                      if (reply.result() == schema::work_reply::key_reused)
-                         context_.refuse(
+                         context_.reject(
                              submission->exchange,
-                             {refusal_code::key_reused, "this key belongs to another submission"},
+                             {rejection_code::key_reused, "this key belongs to another submission"},
                              submission->request_id);
                      else if (reply.result() == schema::work_reply::replay)
                          respond_with_job(submission->exchange, submission->request_id, 202,
@@ -288,8 +289,8 @@
                          send_begin(submission);
                          return;
                      }
-                     context_.refuse(submission->exchange,
-                                     {refusal_code::in_progress, "this job is being submitted",
+                     context_.reject(submission->exchange,
+                                     {rejection_code::in_progress, "this job is being submitted",
                                       run_state::no, default_retry_after},
                                      submission->request_id);
                  });
--- a/lib/entry/cluster_view.cpp
+++ b/lib/entry/fleet_view.cpp
@@ -1,4 +1,4 @@
-#include "cassia/entry/cluster_view.h"
+#include "cassia/entry/fleet_view.h"
 
 #include <algorithm>
 
--- a/lib/entry/http_task.cpp
+++ b/lib/entry/http_task.cpp
@@ -23,9 +23,9 @@
 constexpr std::size_t max_kept_decisions = 20000;
 } // namespace
 
-void http_context::refuse(exchange_id exchange, const refusal& refused,
+void http_context::reject(exchange_id exchange, const rejection& rejected,
                           const std::string& request_id) {
-    server->respond(exchange, to_http_response(refused, request_id));
+    server->respond(exchange, to_http_response(rejected, request_id));
 }
 
 static bool starts_with(const std::string& text, std::string_view prefix) {
@@ -54,14 +54,14 @@
     };
     hooks.on_gone = [this](exchange_id exchange) { online_->on_caller_disconnected(exchange); };
     hooks.on_refused = [this](int status) {
-        const bool header_too_large = status == http_status_of(refusal_code::header_too_large);
+        const bool header_too_large = status == http_status_of(rejection_code::header_too_large);
         const std::string limit = std::to_string(header_too_large ? settings_.max_header_bytes()
                                                                   : settings_.max_body_bytes());
-        const refusal refused{header_too_large ? refusal_code::header_too_large
-                                               : refusal_code::too_large,
-                              header_too_large ? "headers are over " + limit + " bytes"
-                                               : "the body is over the limit"};
-        return to_http_response(refused, random_name("r-"));
+        const rejection rejected{header_too_large ? rejection_code::header_too_large
+                                                  : rejection_code::too_large,
+                                 header_too_large ? "headers are over " + limit + " bytes"
+                                                  : "the body is over the limit"};
+        return to_http_response(rejected, random_name("r-"));
     };
     server_ = std::make_unique<net::http_server>(task_, std::move(limits), std::move(hooks));
     context_.server = server_.get();
@@ -143,7 +143,7 @@
     // Names are sent to the keepers in protobuf string fields. A message whose string is not valid
     // UTF-8 would be dropped on the way, and the caller would wait for an answer that never comes.
     if (!is_valid_utf8(path) || !is_valid_utf8(request.header("idempotency-key"))) {
-        context_.refuse(exchange, {refusal_code::bad_request, "path and key must be UTF-8"},
+        context_.reject(exchange, {rejection_code::bad_request, "path and key must be UTF-8"},
                         request_id);
         return;
     }
@@ -171,16 +171,16 @@
     const bool is_service_call = starts_with(path, "/v1/services/");
     const bool is_batch_request = path == "/v1/batches" || starts_with(path, "/v1/batches/");
     if (!is_model_call && !is_service_call && !is_batch_request) {
-        context_.refuse(exchange, {refusal_code::not_found, "no such path"}, request_id);
+        context_.reject(exchange, {rejection_code::not_found, "no such path"}, request_id);
         return;
     }
     const bool lists_expired =
         context_.draining &&
         monotonic_now() - draining_since_ >= milliseconds(settings_.entries_max_age_ms());
     if (lists_expired) {
-        context_.refuse(
+        context_.reject(
             exchange,
-            {refusal_code::draining, "this entry is leaving", run_state::no, default_retry_after},
+            {rejection_code::draining, "this entry is leaving", run_state::no, default_retry_after},
             request_id);
         return;
     }
@@ -201,9 +201,9 @@
     if (context_.view->catalog == nullptr) {
         // Without a configuration every key is unknown, so this must not be reported as the
         // caller's mistake.
-        context_.refuse(exchange,
-                        {refusal_code::stale, "this entry has no configuration yet", run_state::no,
-                         default_retry_after},
+        context_.reject(exchange,
+                        {rejection_code::stale, "this entry has no configuration yet",
+                         run_state::no, default_retry_after},
                         request_id);
         return std::nullopt;
     }
@@ -212,7 +212,7 @@
     caller.plan = caller.catalog->find_by_key(bearer_token(request));
     if (caller.plan != nullptr)
         return caller;
-    context_.refuse(exchange, {refusal_code::unauthorized, "unknown key"}, request_id);
+    context_.reject(exchange, {rejection_code::unauthorized, "unknown key"}, request_id);
     return std::nullopt;
 }
 
--- a/lib/entry/online_arrival.cpp
+++ b/lib/entry/online_arrival.cpp
@@ -18,11 +18,12 @@
 constexpr std::string_view services_prefix = "/v1/services/";
 } // namespace
 
-// Refuses a call that has not been added to `calls_` yet.
-void online_calls::refuse_before_admission(const call_state& call, const refusal& refused) {
-    record_decision(decision_kind::refused, call, refusal_code_name(refused.code), refused.message);
-    context_.counters.count(std::string("refused_") + refusal_code_name(refused.code));
-    context_.refuse(call.exchange, refused, call.request_id);
+// Rejects a call that has not been added to `calls_` yet.
+void online_calls::reject_before_admission(const call_state& call, const rejection& rejected) {
+    record_decision(decision_kind::refused, call, rejection_code_name(rejected.code),
+                    rejected.message);
+    context_.counters.count(std::string("refused_") + rejection_code_name(rejected.code));
+    context_.reject(call.exchange, rejected, call.request_id);
 }
 
 void online_calls::serve_model(exchange_id exchange, net::http_request request,
@@ -72,27 +73,27 @@
 
 bool online_calls::read_model_body(call_state& call) {
     if (call.request.method != "POST") {
-        refuse_before_admission(call, {refusal_code::bad_method, "expected POST"});
+        reject_before_admission(call, {rejection_code::bad_method, "expected POST"});
         return false;
     }
     json_parse_result parsed = parse_json(call.request.body);
     if (!parsed.value || !parsed.value->is_object()) {
         const std::string error = parsed.value ? "expected an object" : parsed.error;
-        refuse_before_admission(call,
-                                {refusal_code::bad_request, "body is no JSON request: " + error});
+        reject_before_admission(call,
+                                {rejection_code::bad_request, "body is no JSON request: " + error});
         return false;
     }
     call.body = std::move(parsed.value->as_object());
     call.demand = {service_id(string_member(call.body, "model")),
                    string_member(call.body, "version"), string_member(call.body, "adapter")};
     if (call.demand.service.empty()) {
-        refuse_before_admission(call, {refusal_code::bad_request, "model: expected a string"});
+        reject_before_admission(call, {rejection_code::bad_request, "model: expected a string"});
         return false;
     }
     const boost::json::value* stream = call.body.if_contains("stream");
     if (stream != nullptr && !stream->is_bool()) {
-        refuse_before_admission(call,
-                                {refusal_code::bad_request, "stream: expected true or false"});
+        reject_before_admission(call,
+                                {rejection_code::bad_request, "stream: expected true or false"});
         return false;
     }
     call.wants_stream = stream != nullptr && stream->as_bool();
@@ -103,16 +104,16 @@
 bool online_calls::read_headers(call_state& call) {
     const std::string& repeatable = call.request.header("cassia-repeatable");
     if (!repeatable.empty() && repeatable != "yes" && repeatable != "no") {
-        refuse_before_admission(
-            call, {refusal_code::bad_request, "Cassia-Repeatable: expected yes or no"});
+        reject_before_admission(
+            call, {rejection_code::bad_request, "Cassia-Repeatable: expected yes or no"});
         return false;
     }
     if (!repeatable.empty())
         call.repeatable = repeatable == "yes";
     call.idempotency_key = call.request.header("idempotency-key");
     if (call.idempotency_key.size() > max_key_length) {
-        refuse_before_admission(
-            call, {refusal_code::bad_request, "Idempotency-Key: at most 255 characters"});
+        reject_before_admission(
+            call, {rejection_code::bad_request, "Idempotency-Key: at most 255 characters"});
         return false;
     }
     call.arrived_at = monotonic_now();
@@ -124,7 +125,7 @@
     const char* end = deadline.data() + deadline.size();
     const std::from_chars_result parsed = std::from_chars(deadline.data(), end, remaining_ms);
     if (parsed.ec != std::errc() || parsed.ptr != end || remaining_ms == 0) {
-        refuse_before_admission(call, {refusal_code::bad_request,
+        reject_before_admission(call, {rejection_code::bad_request,
                                        "Cassia-Deadline: expected milliseconds from now, above 0"});
         return false;
     }
@@ -157,21 +158,21 @@
     const milliseconds retry_after = limiter->second.admit(call.arrived_at);
     if (retry_after.count() == 0)
         return true;
-    refuse_before_admission(
-        call, {refusal_code::over_share, "the plan's rate is used up", run_state::no, retry_after});
+    reject_before_admission(call, {rejection_code::over_share, "the plan's rate is used up",
+                                   run_state::no, retry_after});
     return false;
 }
 
 void online_calls::admit(call_state admitted) {
     if (!is_allowed(admitted)) {
-        refuse_before_admission(
-            admitted,
-            {refusal_code::not_allowed, "the plan doesn't allow '" + admitted.demand.service.str() +
-                                            "' in this version or with this adapter"});
+        reject_before_admission(admitted,
+                                {rejection_code::not_allowed,
+                                 "the plan doesn't allow '" + admitted.demand.service.str() +
+                                     "' in this version or with this adapter"});
         return;
     }
     if (context_.view->stale) {
-        refuse_before_admission(admitted, {refusal_code::stale,
+        reject_before_admission(admitted, {rejection_code::stale,
                                            "this entry is cut off from the configuration",
                                            run_state::no, default_retry_after});
         return;
@@ -182,8 +183,8 @@
         sha256_hex(admitted.caller.plan->team.str() + "\n" + admitted.request.method + "\n" +
                    admitted.request.path + "\n" + canonical_body(admitted.request.body)));
     if (crash_tracker_.is_quarantined(admitted.fingerprint)) {
-        refuse_before_admission(admitted,
-                                {refusal_code::quarantined, "this request crashed endpoints"});
+        reject_before_admission(admitted,
+                                {rejection_code::quarantined, "this request crashed endpoints"});
         return;
     }
     context_.counters.count("online_calls");
@@ -219,10 +220,10 @@
     if (call == nullptr)
         return;
     if (reply.result() != schema::keeper_reply::done) {
-        // The claim may still be committed, so refuse() releases the key. If that request is lost
+        // The claim may still be committed, so reject() releases the key. If that request is lost
         // as well, the key is released or its outcome marked unknown once this process has ended.
         call->key_claimed = true;
-        refuse(exchange, {refusal_code::no_quorum, "the durable state can't be reached",
+        reject(exchange, {rejection_code::no_quorum, "the durable state can't be reached",
                           run_state::no, default_retry_after});
         return;
     }
@@ -245,16 +246,16 @@
         return;
     }
     case schema::work_reply::in_progress:
-        refuse(exchange, {refusal_code::in_progress, "a request with this key is running",
+        reject(exchange, {rejection_code::in_progress, "a request with this key is running",
                           run_state::no, default_retry_after});
         return;
     case schema::work_reply::key_reused:
-        refuse(exchange,
-               {refusal_code::key_reused, "this key belongs to another request", run_state::no});
+        reject(exchange,
+               {rejection_code::key_reused, "this key belongs to another request", run_state::no});
         return;
     default:
-        refuse(exchange,
-               {refusal_code::outcome_unknown,
+        reject(exchange,
+               {rejection_code::outcome_unknown,
                 "an earlier run of this request was lost; it won't run again", run_state::maybe});
         return;
     }
@@ -264,8 +265,8 @@
     return static_cast<double>(waiting_.size()) / completions_per_second_;
 }
 
-// Lets a call that would miss its deadline in the queue be refused immediately instead of after the
-// wait.
+// Lets a call that would miss its deadline in the queue be rejected immediately instead of after
+// the wait.
 bool online_calls::can_meet_deadline(const call_state& call) const {
     if (call.deadline == instant::max() || completions_per_second_ <= 0 || waiting_.size() == 0)
         return true;
@@ -275,19 +276,19 @@
 
 void online_calls::enqueue(call_state& call) {
     if (!router_.can_serve(call.demand)) {
-        refuse(call.exchange,
-               {refusal_code::no_endpoint, "no endpoint serves '" + call.demand.service.str() + "'",
-                run_state::no, default_retry_after});
+        reject(call.exchange, {rejection_code::no_endpoint,
+                               "no endpoint serves '" + call.demand.service.str() + "'",
+                               run_state::no, default_retry_after});
         return;
     }
     if (!can_meet_deadline(call)) {
-        refuse(call.exchange,
-               {refusal_code::deadline, "the deadline would pass while it waits", run_state::no,
+        reject(call.exchange,
+               {rejection_code::deadline, "the deadline would pass while it waits", run_state::no,
                 milliseconds(static_cast<std::int64_t>(expected_wait_s() * 1000))});
         return;
     }
     // A suspect may run only where no other suspect runs, so its turn can take much longer. With
-    // the usual limit it would be refused because of the request that really crashed the endpoint.
+    // the usual limit it would be rejected because of the request that really crashed the endpoint.
     constexpr int suspect_wait_factor = 10;
     const instant now = monotonic_now();
     const milliseconds max_wait(context_.settings.queue_wait_ms());
@@ -296,7 +297,7 @@
     call.waiting = waiting_.add({call.exchange, call.caller.plan->team, call.caller.plan->weight,
                                  std::min(give_up_at, call.deadline)});
     if (!call.waiting) {
-        refuse(call.exchange, {refusal_code::over_share, "too many of the plan's requests wait",
+        reject(call.exchange, {rejection_code::over_share, "too many of the plan's requests wait",
                                run_state::no, default_retry_after});
         return;
     }
--- a/lib/entry/online_calls.cpp
+++ b/lib/entry/online_calls.cpp
@@ -62,21 +62,21 @@
     return maybe_executed;
 }
 
-void online_calls::refuse(exchange_id exchange, refusal refused) {
+void online_calls::reject(exchange_id exchange, rejection rejected) {
     call_state* call = find(exchange);
     if (call == nullptr)
         return;
     const bool maybe_executed = cancel_call(*call);
-    if (maybe_executed && refused.run == run_state::no)
-        refused.run = run_state::maybe;
-    record_decision(decision_kind::refused, *call, refusal_code_name(refused.code),
-                    refused.message);
-    context_.counters.count(std::string("refused_") + refusal_code_name(refused.code));
+    if (maybe_executed && rejected.run == run_state::no)
+        rejected.run = run_state::maybe;
+    record_decision(decision_kind::refused, *call, rejection_code_name(rejected.code),
+                    rejected.message);
+    context_.counters.count(std::string("refused_") + rejection_code_name(rejected.code));
     if (call->head_sent) {
-        context_.server->stream(exchange, to_sse_event(refused, call->request_id));
+        context_.server->stream(exchange, to_sse_event(rejected, call->request_id));
         context_.server->end_stream(exchange);
     } else {
-        context_.refuse(exchange, refused, call->request_id);
+        context_.reject(exchange, rejected, call->request_id);
     }
     remove(exchange);
 }
@@ -177,11 +177,12 @@
             continue;
         call->waiting = false;
         const bool deadline_passed = call->deadline <= now;
-        refuse(expired, deadline_passed
-                            ? refusal{refusal_code::deadline, "the deadline passed while it waited",
-                                      run_state::no, default_retry_after}
-                            : refusal{refusal_code::no_endpoint, "all endpoints are busy",
-                                      run_state::no, default_retry_after});
+        reject(expired,
+               deadline_passed
+                   ? rejection{rejection_code::deadline, "the deadline passed while it waited",
+                               run_state::no, default_retry_after}
+                   : rejection{rejection_code::no_endpoint, "all endpoints are busy", run_state::no,
+                               default_retry_after});
     }
     std::vector<exchange_id> overdue;
     for (const std::pair<const exchange_id, call_state>& open_call : calls_) {
@@ -189,7 +190,7 @@
             overdue.push_back(open_call.first);
     }
     for (const exchange_id exchange : overdue)
-        refuse(exchange, {refusal_code::deadline, "the deadline passed", run_state::maybe});
+        reject(exchange, {rejection_code::deadline, "the deadline passed", run_state::maybe});
     if (now - completion_rate_updated_at_ >= completion_rate_interval) {
         update_completion_rate(now);
         report_uses();
--- a/lib/entry/online_dispatch.cpp
+++ b/lib/entry/online_dispatch.cpp
@@ -249,20 +249,21 @@
     call.failed_endpoints.insert(call.endpoint);
     end_attempt(call, policy::call_result::failed);
     if (crash_tracker_.is_quarantined(call.fingerprint)) {
-        refuse(exchange,
-               {refusal_code::quarantined, "this request crashed endpoints", run_state::yes});
+        reject(exchange,
+               {rejection_code::quarantined, "this request crashed endpoints", run_state::yes});
         return;
     }
     const bool may_retry = call.repeatable || !failure.sent;
     if (!may_retry) {
-        refuse(exchange,
-               {refusal_code::outcome_unknown,
+        reject(exchange,
+               {rejection_code::outcome_unknown,
                 "the endpoint was lost while it ran: " + failure.cause.text, run_state::maybe});
         return;
     }
     if (call.attempts >= max_attempts || (failure.sent && !retry_budget_.take())) {
-        refuse(exchange, {refusal_code::endpoint_failed, "endpoints failed: " + failure.cause.text,
-                          run_state::no, default_retry_after});
+        reject(exchange,
+               {rejection_code::endpoint_failed, "endpoints failed: " + failure.cause.text,
+                run_state::no, default_retry_after});
         return;
     }
     retry(call, failure.cause.text);
--- a/lib/entry/operator_api.cpp
+++ b/lib/entry/operator_api.cpp
@@ -22,7 +22,7 @@
 void operator_api::serve(exchange_id exchange, const net::http_request& request,
                          const std::string& request_id) {
     if (!has_token(request, context_.settings.operator_token_sha256())) {
-        context_.refuse(exchange, {refusal_code::unauthorized, "unknown operator token"},
+        context_.reject(exchange, {rejection_code::unauthorized, "unknown operator token"},
                         request_id);
         return;
     }
@@ -39,7 +39,7 @@
         drain_();
         respond_json(context_, exchange, 202, {{"state", "draining"}});
     } else {
-        context_.refuse(exchange, {refusal_code::not_found, "no such path"}, request_id);
+        context_.reject(exchange, {rejection_code::not_found, "no such path"}, request_id);
     }
 }
 
@@ -80,8 +80,8 @@
     const boost::json::value* base = complete ? body->if_contains("base") : nullptr;
     if (base == nullptr || !base->is_int64() || base->as_int64() < 0 ||
         change.change_id().empty()) {
-        context_.refuse(exchange,
-                        {refusal_code::bad_request,
+        context_.reject(exchange,
+                        {rejection_code::bad_request,
                          "expected base (a version), change_id, plans and allowances"},
                         request_id);
         return;
@@ -102,8 +102,8 @@
         std::move(command_request), request_options{milliseconds(10000), true}, context_.task,
         [this, exchange, request_id, id = change.change_id()](const schema::keeper_reply& reply) {
             if (reply.result() != schema::keeper_reply::done) {
-                context_.refuse(exchange,
-                                {refusal_code::no_quorum,
+                context_.reject(exchange,
+                                {rejection_code::no_quorum,
                                  "the outcome is unknown; resend with the same change-id",
                                  run_state::maybe, default_retry_after},
                                 request_id);
@@ -130,8 +130,8 @@
         std::move(history_request), request_options(), context_.task,
         [this, exchange, request_id](const schema::keeper_reply& reply) {
             if (reply.result() != schema::keeper_reply::done) {
-                context_.refuse(exchange,
-                                {refusal_code::no_quorum, "the durable state can't be reached",
+                context_.reject(exchange,
+                                {rejection_code::no_quorum, "the durable state can't be reached",
                                  run_state::no, default_retry_after},
                                 request_id);
                 return;
