--- a/include/cassia/entry/control_task.h
+++ b/include/cassia/entry/control_task.h
@@ -74,8 +74,8 @@
     void on_gossip(const schema::gossip& gossip);
     void on_yield(const schema::yield_request& yield);
     void apply_config(const schema::change_record& config);
-    schema::entry_hello make_hello() const;
-    void send_hellos();
+    schema::entry_hello make_heartbeat() const;
+    void send_heartbeats();
     void send_gossip();
     void publish_view();
     std::vector<policy::endpoint_facts> endpoint_facts(instant now) const;
--- a/include/cassia/entry/crash_tracker.h
+++ b/include/cassia/entry/crash_tracker.h
@@ -23,7 +23,7 @@
     /// Checks whether the endpoint is dead. A lost connection may mean that the endpoint crashed,
     /// possibly because of that very request, or only that the connection broke. A dead endpoint
     /// refuses a new connection.
-    void probe(const http_address& address, std::function<void(bool dead)> on_result);
+    void probe(const http_address& address, std::function<void(bool crashed)> on_result);
 
     /// Records that the endpoint crashed while these requests were running. Several reports of the
     /// same crash count once. \returns whether this was the first report.
@@ -37,7 +37,7 @@
     bool is_quarantined(const fingerprint& request) const;
 
 private:
-    void send_probe(const http_address& address, std::function<void(bool dead)> on_result,
+    void send_probe(const http_address& address, std::function<void(bool crashed)> on_result,
                     int probes_left);
     void add_strikes(const std::vector<fingerprint>& requests, const endpoint_id& endpoint,
                      instant time);
--- a/include/cassia/entry/online_calls.h
+++ b/include/cassia/entry/online_calls.h
@@ -100,7 +100,7 @@
     void remove(exchange_id exchange);
     void refresh_rate_limits();
     void request_slots_for_delayed_calls(instant now);
-    void update_completion_rate(instant now);
+    void update_attempt_end_rate(instant now);
 
     // Dispatch (online_dispatch.cpp).
     bool try_dispatch(exchange_id exchange);
@@ -122,7 +122,7 @@
     std::string full_stream(const call_state& call) const;
     void finish(call_state& call);
     void respond(call_state& call);
-    void store_answer(const call_state& call);
+    void store_response(const call_state& call);
     schema::keeper_request make_key_finish_request(const call_state& call) const;
     void release_key(const call_state& call, bool outcome_unknown);
     void record_decision(decision_kind kind, const call_state& call, const std::string& object,
@@ -145,9 +145,9 @@
     std::map<endpoint_id, policy::batch_slots> batch_slots_;
     std::map<endpoint_id, endpoint_use> batch_uses_;
     std::map<exchange_id, call_state> calls_;
-    double completions_per_second_ = 0; ///< smoothed
-    std::uint64_t completions_ = 0;     ///< attempts ended since the rate was last updated
-    instant completion_rate_updated_at_{};
+    double attempt_end_rate_ = 0;      ///< smoothed
+    std::uint64_t ended_attempts_ = 0; ///< attempts ended since the rate was last updated
+    instant attempt_end_rate_updated_at_{};
     instant capacities_published_at_{};
 };
 
--- a/lib/entry/control_task.cpp
+++ b/lib/entry/control_task.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 constexpr milliseconds tick_interval(50);
-constexpr milliseconds hello_interval(400);
+constexpr milliseconds heartbeat_interval(400);
 constexpr milliseconds gossip_interval(200);
 constexpr milliseconds view_interval(100);
 } // namespace
@@ -46,10 +46,10 @@
     if (!opened)
         return opened.error().text;
     task_.every(tick_interval, [this] { tick(); });
-    task_.every(hello_interval, [this] { send_hellos(); });
+    task_.every(heartbeat_interval, [this] { send_heartbeats(); });
     task_.every(gossip_interval, [this] { send_gossip(); });
     task_.every(view_interval, [this] { publish_view(); });
-    task_.post([this] { send_hellos(); });
+    task_.post([this] { send_heartbeats(); });
     return "";
 }
 
@@ -117,31 +117,30 @@
             return;
         const std::vector<const schema::entry_hello*> live_entries =
             entries_.alive(monotonic_now());
-        const entry_id steward =
+        const entry_id owner =
             membership::steward_of(endpoint, found->second.record.zone(), live_entries);
-        if (steward.str() == settings_.name()) {
+        if (owner.str() == settings_.name()) {
             hooks_.on_yield(endpoint, slots);
             return;
         }
-        auto steward_hello = std::find_if(live_entries.begin(), live_entries.end(),
-                                          [&steward](const schema::entry_hello* entry) {
-                                              return entry->entry() == steward.str();
-                                          });
-        if (steward_hello == live_entries.end())
+        auto owner_heartbeat = std::find_if(
+            live_entries.begin(), live_entries.end(),
+            [&owner](const schema::entry_hello* entry) { return entry->entry() == owner.str(); });
+        if (owner_heartbeat == live_entries.end())
             return;
         schema::envelope envelope;
         envelope.mutable_yield()->set_endpoint(endpoint.str());
         envelope.mutable_yield()->set_slots(slots);
-        hub_->send(peer_address((*steward_hello)->peer_address()), envelope);
+        hub_->send(peer_address((*owner_heartbeat)->peer_address()), envelope);
     });
 }
 
 void control_task::set_draining() {
     task_.post([this] {
         draining_ = true;
-        entries_.saw(make_hello(), milliseconds(0), monotonic_now());
+        entries_.saw(make_heartbeat(), milliseconds(0), monotonic_now());
         publish_view();
-        send_hellos();
+        send_heartbeats();
         send_gossip();
     });
 }
@@ -218,7 +217,7 @@
         .with("version", config.version())
         .with("change_id", config.change_id());
     publish_view();
-    send_hellos();
+    send_heartbeats();
     send_gossip();
 }
 
@@ -252,24 +251,24 @@
     hooks_.on_yield(endpoint_id(yield.endpoint()), yield.slots());
 }
 
-schema::entry_hello control_task::make_hello() const {
+schema::entry_hello control_task::make_heartbeat() const {
     const instant now = monotonic_now();
-    schema::entry_hello hello;
-    hello.set_entry(settings_.name());
-    hello.set_incarnation(incarnation_);
-    hello.set_peer_address(settings_.peer_address());
-    hello.set_http_address(settings_.http_address());
-    hello.set_zone(settings_.zone());
-    hello.set_config_version(config_.version());
-    hello.set_draining(draining_);
-    hello.set_stale(freshness_.is_stale(now));
-    hello.set_sent_at_us(to_us(now));
-    return hello;
+    schema::entry_hello heartbeat;
+    heartbeat.set_entry(settings_.name());
+    heartbeat.set_incarnation(incarnation_);
+    heartbeat.set_peer_address(settings_.peer_address());
+    heartbeat.set_http_address(settings_.http_address());
+    heartbeat.set_zone(settings_.zone());
+    heartbeat.set_config_version(config_.version());
+    heartbeat.set_draining(draining_);
+    heartbeat.set_stale(freshness_.is_stale(now));
+    heartbeat.set_sent_at_us(to_us(now));
+    return heartbeat;
 }
 
-void control_task::send_hellos() {
+void control_task::send_heartbeats() {
     schema::envelope envelope;
-    *envelope.mutable_hello() = make_hello();
+    *envelope.mutable_hello() = make_heartbeat();
     entries_.saw(envelope.hello(), milliseconds(0), monotonic_now());
     for (const keeper_address& keeper : keeper_addresses(settings_))
         hub_->send(keeper.address, envelope);
@@ -282,7 +281,7 @@
     gossip->set_entry(settings_.name());
     gossip->set_incarnation(incarnation_);
     gossip->set_sequence(++gossip_sequence_);
-    *gossip->mutable_self() = make_hello();
+    *gossip->mutable_self() = make_heartbeat();
     for (schema::endpoint_record& record : directory_.own_records(now))
         *gossip->add_endpoints() = std::move(record);
     for (const policy::strike& strike : strikes_.all(now)) {
--- a/lib/entry/control_view.cpp
+++ b/lib/entry/control_view.cpp
@@ -99,13 +99,13 @@
     }
     dump["endpoints"] = std::move(endpoints);
     boost::json::array entries;
-    for (const schema::entry_hello* hello : live_entries)
-        entries.push_back({{"entry", hello->entry()},
-                           {"address", hello->http_address()},
-                           {"zone", hello->zone()},
-                           {"config_version", hello->config_version()},
-                           {"draining", hello->draining()},
-                           {"stale", hello->stale()}});
+    for (const schema::entry_hello* heartbeat : live_entries)
+        entries.push_back({{"entry", heartbeat->entry()},
+                           {"address", heartbeat->http_address()},
+                           {"zone", heartbeat->zone()},
+                           {"config_version", heartbeat->config_version()},
+                           {"draining", heartbeat->draining()},
+                           {"stale", heartbeat->stale()}});
     dump["entries"] = std::move(entries);
     boost::json::array strikes;
     for (const policy::strike& strike : strikes_.all(now))
--- a/lib/entry/crash_tracker.cpp
+++ b/lib/entry/crash_tracker.cpp
@@ -19,7 +19,8 @@
     : task_(task), client_(client), control_(control), on_strike_(std::move(on_strike)),
       strikes_(policy::strike_memory) {}
 
-void crash_tracker::probe(const http_address& address, std::function<void(bool dead)> on_result) {
+void crash_tracker::probe(const http_address& address,
+                          std::function<void(bool crashed)> on_result) {
     send_probe(address, std::move(on_result), max_probes);
 }
 
@@ -27,7 +28,7 @@
 // its listening socket, is accepted and then reset. Counting that as a sign of life would leave the
 // request that caused the crash without a strike, and it could go on to crash a third engine.
 void crash_tracker::send_probe(const http_address& address,
-                               std::function<void(bool dead)> on_result, int probes_left) {
+                               std::function<void(bool crashed)> on_result, int probes_left) {
     net::http_call probe_request;
     probe_request.to = address;
     probe_request.path = "/health";
@@ -35,16 +36,16 @@
     probe_request.progress_timeout = probe_timeout;
     net::fetch(client_, probe_request,
                [this, address, probes_left, on_result = std::move(on_result)](
-                   const outcome<net::http_answer, net::http_failure>& answer) {
+                   const outcome<net::http_answer, net::http_failure>& response) {
                    const bool broken =
-                       !answer && answer.error().cause.code == net::errc::connection_lost;
+                       !response && response.error().cause.code == net::errc::connection_lost;
                    if (broken && probes_left > 1) {
                        task_.after(probe_retry_delay, [this, address, probes_left, on_result] {
                            send_probe(address, on_result, probes_left - 1);
                        });
                        return;
                    }
-                   on_result(!answer && answer.error().cause.code == net::errc::cannot_connect);
+                   on_result(!response && response.error().cause.code == net::errc::cannot_connect);
                });
 }
 
--- a/lib/entry/http_task.cpp
+++ b/lib/entry/http_task.cpp
@@ -127,9 +127,9 @@
     if (!lists_expired)
         return;
     server_->stop_listening();
-    const bool all_answered = server_->open_exchanges() == 0;
+    const bool all_completed = server_->open_exchanges() == 0;
     const bool timed_out = elapsed >= milliseconds(settings_.drain_timeout_ms());
-    if (!all_answered && !timed_out)
+    if (!all_completed && !timed_out)
         return;
     log_info("drained").with("cut_off", server_->open_exchanges());
     hooks_.on_drained();
--- a/lib/entry/online_answers.cpp
+++ b/lib/entry/online_answers.cpp
@@ -50,7 +50,7 @@
                     "status " + std::to_string(call.response_head.status));
     context_.counters.observe("online_call", monotonic_now() - call.arrived_at);
     if (call.key_claimed)
-        store_answer(call);
+        store_response(call);
     else
         respond(call);
 }
@@ -87,7 +87,7 @@
 
 // The answer is stored before it is sent, so that a caller whose connection breaks can fetch it
 // again with the same key.
-void online_calls::store_answer(const call_state& call) {
+void online_calls::store_response(const call_state& call) {
     schema::keeper_request request = make_key_finish_request(call);
     schema::stored_answer* answer = request.mutable_work()->mutable_finish()->mutable_answer();
     answer->set_status(static_cast<std::uint32_t>(call.response_head.status));
@@ -175,7 +175,7 @@
     boost::json::object dump;
     dump["open_calls"] = calls_.size();
     dump["waiting"] = waiting_.size();
-    dump["ends_per_second"] = completions_per_second_;
+    dump["ends_per_second"] = attempt_end_rate_;
     boost::json::array ejected;
     for (const endpoint_id& endpoint : router_.ejected(now))
         ejected.push_back(boost::json::string(endpoint.str()));
--- a/lib/entry/online_arrival.cpp
+++ b/lib/entry/online_arrival.cpp
@@ -262,13 +262,13 @@
 }
 
 double online_calls::expected_wait_s() const {
-    return static_cast<double>(waiting_.size()) / completions_per_second_;
+    return static_cast<double>(waiting_.size()) / attempt_end_rate_;
 }
 
 // Lets a call that would miss its deadline in the queue be rejected immediately instead of after
 // the wait.
 bool online_calls::can_meet_deadline(const call_state& call) const {
-    if (call.deadline == instant::max() || completions_per_second_ <= 0 || waiting_.size() == 0)
+    if (call.deadline == instant::max() || attempt_end_rate_ <= 0 || waiting_.size() == 0)
         return true;
     const double remaining_s = static_cast<double>((call.deadline - monotonic_now()).count()) / 1e6;
     return expected_wait_s() < remaining_s;
--- a/lib/entry/online_calls.cpp
+++ b/lib/entry/online_calls.cpp
@@ -15,7 +15,7 @@
 constexpr double retry_ratio = 0.2;
 constexpr double retry_reserve = 20;
 constexpr milliseconds capacity_interval(50);
-constexpr milliseconds completion_rate_interval(200);
+constexpr milliseconds attempt_end_rate_interval(200);
 // Twice the time to first token of a lightly loaded engine (about 30 ms).
 constexpr milliseconds min_slot_wait(60);
 } // namespace
@@ -137,15 +137,15 @@
 }
 
 // Updates the smoothed rate at which attempts end, from which the queueing time is estimated.
-void online_calls::update_completion_rate(instant now) {
+void online_calls::update_attempt_end_rate(instant now) {
     constexpr double smoothing = 0.3;
     constexpr double us_per_second = 1e6;
     const double seconds =
-        static_cast<double>((now - completion_rate_updated_at_).count()) / us_per_second;
-    completions_per_second_ +=
-        smoothing * (static_cast<double>(completions_) / seconds - completions_per_second_);
-    completions_ = 0;
-    completion_rate_updated_at_ = now;
+        static_cast<double>((now - attempt_end_rate_updated_at_).count()) / us_per_second;
+    attempt_end_rate_ +=
+        smoothing * (static_cast<double>(ended_attempts_) / seconds - attempt_end_rate_);
+    ended_attempts_ = 0;
+    attempt_end_rate_updated_at_ = now;
 }
 
 // Two entries may use the same free slot before they learn of each other's calls (gossip interval:
@@ -191,8 +191,8 @@
     }
     for (const exchange_id exchange : overdue)
         reject(exchange, {rejection_code::deadline, "the deadline passed", run_state::maybe});
-    if (now - completion_rate_updated_at_ >= completion_rate_interval) {
-        update_completion_rate(now);
+    if (now - attempt_end_rate_updated_at_ >= attempt_end_rate_interval) {
+        update_attempt_end_rate(now);
         report_uses();
     }
     if (now - capacities_published_at_ >= capacity_interval) {
--- a/lib/entry/online_dispatch.cpp
+++ b/lib/entry/online_dispatch.cpp
@@ -187,7 +187,7 @@
 void online_calls::end_attempt(call_state& call, policy::call_result result) {
     call.running = false;
     router_.ended(call.endpoint, call.suspect, result, monotonic_now());
-    ++completions_;
+    ++ended_attempts_;
 }
 
 void online_calls::on_end(exchange_id exchange) {
