--- a/include/cassia/entry/batch_task.h
+++ b/include/cassia/entry/batch_task.h
@@ -1,6 +1,7 @@
-/// Runs batch items, in the slots that online calls leave free, on the endpoints whose steward is
-/// this entry. It is a separate task with its own connections, so that online calls never wait for
-/// it.
+/// Runs batch items, in the slots that online calls leave free, on the endpoints that this entry
+/// owns. Each endpoint has one entry as its owner (also called `steward`), which runs the batch
+/// items there. This is a separate task with its own connections, so that online calls never wait
+/// for it.
 #pragma once
 
 #include "cassia/base/metrics.h"
@@ -68,14 +69,14 @@
 
         // The current run.
         bool running = false;
-        bool suspect = false;
+        bool suspect = false; ///< has a strike, and this run got no event yet
         endpoint_id endpoint;
         call_id upstream_call;
         net::http_head response_head;
         std::string response_body;
         event_splitter splitter;
         bool done_received = false;
-        bool has_output = false; ///< this run has received an event
+        bool has_output = false; ///< this run has received an event; never set for plain services
         std::string request_id;
     };
     struct endpoint_state {
--- a/include/cassia/entry/control_task.h
+++ b/include/cassia/entry/control_task.h
@@ -36,7 +36,7 @@
     std::function<void(const std::vector<job_id>&)> on_jobs_cancelled;
 };
 
-/// An entry is considered dead after this long without a message.
+/// An entry is considered unresponsive after this long without a message.
 inline constexpr milliseconds peer_timeout(3000);
 
 class control_task {
@@ -58,7 +58,7 @@
     void report_online(std::vector<endpoint_use> uses, std::map<team_id, double> rates);
     void report_batch(std::vector<endpoint_use> uses);
     void add_strike(const policy::strike& strike);
-    /// Asks the steward of an endpoint to free this many slots by stopping batch items.
+    /// Asks the owner of an endpoint to free this many slots by stopping batch items.
     void request_yield(const endpoint_id& endpoint, std::uint32_t slots);
     /// Removes this entry from the list of entries immediately.
     void set_draining();
--- a/include/cassia/entry/crash_tracker.h
+++ b/include/cassia/entry/crash_tracker.h
@@ -1,4 +1,4 @@
-/// Detects endpoint crashes and records a strike against each request that may have caused one.
+/// Detects endpoint crashes and records strikes against the requests that most likely caused them.
 /// Every task that sends requests to endpoints has its own tracker.
 #pragma once
 
@@ -20,9 +20,9 @@
     crash_tracker(net::task& task, net::http_client& client, control_task& control,
                   std::function<void(const policy::strike&)> on_strike);
 
-    /// Checks whether the endpoint is dead. A lost connection may mean that the endpoint crashed,
-    /// possibly because of that very request, or only that the connection broke. A dead endpoint
-    /// refuses a new connection.
+    /// Checks whether the endpoint has crashed. A lost connection may mean that the endpoint
+    /// crashed, possibly because of that very request, or only that the connection broke. A crashed
+    /// endpoint refuses a new connection.
     void probe(const http_address& address, std::function<void(bool crashed)> on_result);
 
     /// Records that the endpoint crashed while these requests were running. Several reports of the
--- a/include/cassia/entry/decision_log.h
+++ b/include/cassia/entry/decision_log.h
@@ -14,10 +14,10 @@
 enum class decision_kind {
     routed,      ///< sent to an endpoint
     queued,      ///< waits for a free slot
-    refused,     ///< answered with an error
+    refused,     ///< rejected with an error
     retried,     ///< sent again from the beginning after a failed attempt
     resumed,     ///< a partly received stream is continued with a new attempt
-    ended,       ///< answered in full, or abandoned by the caller
+    ended,       ///< responded to in full, or abandoned by the caller
     yielded,     ///< batch items are asked to release slots for online calls, or did so
     struck,      ///< recorded as a possible cause of an endpoint's crash
     ejected,     ///< an endpoint was excluded from routing
@@ -29,8 +29,11 @@
 struct decision {
     wall_time at;
     decision_kind kind = decision_kind::routed;
-    std::string subject; ///< id of the request, job or endpoint that the decision concerns
-    std::string object;  ///< outcome: an endpoint, an error code or a request
+    /// What the decision concerns: a request id, a request's fingerprint, a job or an endpoint.
+    std::string subject;
+    /// What was decided, by kind: an endpoint, error code, service, request or lease holder; an
+    /// ended request may have "replayed" or "abandoned".
+    std::string object;
     std::string reason;
 };
 
--- a/include/cassia/entry/fleet_view.h
+++ b/include/cassia/entry/fleet_view.h
@@ -30,9 +30,9 @@
     bool stale = true; ///< no recent beacon of the control group: `catalog` may be out of date
     std::vector<policy::strike> strikes;
     std::map<team_id, double> peer_rates; ///< requests per second through the other entries
-    /// For each work group, when its leader was last known to be alive.
+    /// For each work group, when this entry sent the last heartbeat that its leader replied to.
     std::map<group_id, instant> leader_last_heard;
-    /// The leader's own clock in its last beacon, in microseconds.
+    /// For each work group, its leader's own clock in its last beacon, in microseconds.
     std::map<group_id, std::uint64_t> leader_clocks;
 };
 
--- a/include/cassia/entry/http_task.h
+++ b/include/cassia/entry/http_task.h
@@ -1,5 +1,5 @@
 /// The task that serves HTTP: it receives each request, authenticates its sender and passes it to
-/// the component that answers it.
+/// the component that responds to it.
 #pragma once
 
 #include "cassia/base/metrics.h"
@@ -37,7 +37,7 @@
     cluster_view_ptr view;
     bool draining = false;
 
-    /// Answers the exchange with an error.
+    /// Responds to the exchange with an error.
     void reject(exchange_id exchange, const rejection& rejected, const std::string& request_id);
 };
 
--- a/include/cassia/entry/online_calls.h
+++ b/include/cassia/entry/online_calls.h
@@ -50,9 +50,9 @@
         bool repeatable = true;
         std::string endpoint_path; ///< path to request from the endpoint
         std::string idempotency_key;
-        bool key_claimed = false;
+        bool key_claimed = false; ///< or may be claimed: to be finished or released
         cassia::fingerprint fingerprint;
-        std::uint64_t prefix_hash = 0;
+        std::uint64_t prefix_hash = 0; ///< of the start of the prompt; 0 without one
         instant arrived_at{};
         instant deadline{};
         bool waiting = false;
@@ -63,15 +63,15 @@
         endpoint_id endpoint;
         call_id upstream_call;
         bool running = false;
-        bool suspect = false;
-        bool has_output = false; ///< the endpoint has sent part of its answer
+        bool suspect = false;    ///< has a strike, and this attempt got no output yet
+        bool has_output = false; ///< the endpoint has sent part of its response
         instant sent_at{};
         instant slot_requested_at{}; ///< when batch was last asked to free a slot for the call
         microseconds expected_first_token{0};
-        bool alongside_batch = false;
+        bool alongside_batch = false;   ///< batch items ran at the endpoint when it was sent
         bool possibly_received = false; ///< an endpoint may have received the request
 
-        // The answer received so far.
+        // The response received so far.
         net::http_head response_head;
         std::string response_body;
         event_splitter splitter;
@@ -117,7 +117,7 @@
     void record_crash(const endpoint_id& endpoint);
     void retry(call_state& call, const std::string& reason);
 
-    // Answers (online_answers.cpp).
+    // Responses (online_answers.cpp).
     void record_first_token(call_state& call);
     std::string full_stream(const call_state& call) const;
     void finish(call_state& call);
@@ -145,7 +145,7 @@
     std::map<endpoint_id, policy::batch_slots> batch_slots_;
     std::map<endpoint_id, endpoint_use> batch_uses_;
     std::map<exchange_id, call_state> calls_;
-    double attempt_end_rate_ = 0;      ///< smoothed
+    double attempt_end_rate_ = 0;      ///< ended attempts per second, smoothed
     std::uint64_t ended_attempts_ = 0; ///< attempts ended since the rate was last updated
     instant attempt_end_rate_updated_at_{};
     instant capacities_published_at_{};
--- a/lib/entry/batch_items.cpp
+++ b/lib/entry/batch_items.cpp
@@ -15,8 +15,8 @@
 
 namespace {
 // An entry that has not heard from a group's leader for this long may have missed a cancellation,
-// so it starts no items of that group. A leader waits longer than this for entries to confirm a
-// cancellation before it answers.
+// so it starts no items of that group. The leader delays its response to a cancellation by longer
+// than this, unless all items of the job have ended before.
 constexpr milliseconds leader_timeout(3000);
 // The pause doubles with each consecutive failure. An endpoint restarts within seconds of a crash.
 constexpr milliseconds initial_pause(1000);
@@ -239,6 +239,7 @@
     }
     const policy::endpoint_facts* facts = find_endpoint(*view_, items_.at(id).endpoint);
     if (facts == nullptr) {
+        // The endpoint has left the view, so its address is unknown. Count it as crashed.
         handle_failure(id, failure, true);
         return;
     }
@@ -273,11 +274,12 @@
     batch_item& item = items_.at(id);
     if (crashed)
         record_crash(item.endpoint);
-    // A dead endpoint refuses connections immediately; behind a proxy, they are accepted and then
-    // closed. Without a pause, an item that only this endpoint can serve would use up its runs
-    // within milliseconds and end as failed. With the pause it is returned to its group first.
+    // A run whose request was never sent does not count.
     if (!failure.sent)
         --item.runs;
+    // A crashed endpoint refuses connections immediately; behind a proxy, they are accepted and
+    // then closed. Without a pause, an item that only this endpoint can serve would use up its runs
+    // within milliseconds and end as failed. With the pause it is returned to its group first.
     pause_after_failure(endpoints_.at(item.endpoint));
     item.failed_endpoints.insert(item.endpoint);
     stop_run(item);
--- a/lib/entry/batch_leases.cpp
+++ b/lib/entry/batch_leases.cpp
@@ -19,6 +19,7 @@
 constexpr milliseconds empty_round_delay(100);
 constexpr std::size_t max_ends_per_request = 256;
 constexpr milliseconds item_end_timeout(20000);
+// An item that has waited this long for a slot here is returned to its group.
 constexpr milliseconds max_queue_time(1500);
 } // namespace
 
@@ -28,7 +29,8 @@
 }
 
 // For each service, the number of items to lease: twice what could run now, less those already
-// held, so that an item is available as soon as a slot becomes free.
+// held, so that an item is available as soon as a slot becomes free, and no more than the batch
+// window has room for.
 std::map<service_id, std::uint32_t> batch_task::items_to_lease() const {
     std::map<service_id, std::uint32_t> item_counts;
     const instant now = monotonic_now();
@@ -94,7 +96,7 @@
     const instant now = monotonic_now();
     const bool expired = now - requested_at > lease_timeout;
     if (reply.work().leased_size() == 0 || expired) {
-        // Wait before the next round if the last group of this round had no items either.
+        // Pause after a round whose last group returned no items.
         if (next_lease_group_ % settings_.cluster().work_groups() == 0)
             next_lease_at_ = now + empty_round_delay;
         return;
@@ -150,6 +152,7 @@
         schema::keeper_request request;
         request.set_group(static_cast<std::uint32_t>(group.first.value()));
         *request.mutable_held() = std::move(group.second);
+        // The reply is not used. With this timeout the request is forgotten at the next tick.
         control_.send_request(std::move(request), request_options{milliseconds(1), false}, task_,
                               [](const schema::keeper_reply&) {});
     }
--- a/lib/entry/batch_submission.cpp
+++ b/lib/entry/batch_submission.cpp
@@ -1,5 +1,5 @@
-// Submission of batch jobs. The caller gets its answer only after a majority has stored the job. A
-// submission that is interrupted before leaves nothing that is visible to callers.
+// Submission of batch jobs. The caller gets its response only after a majority has stored the job.
+// A submission that is interrupted before leaves nothing that is visible to callers.
 
 #include "cassia/entry/batch_api.h"
 
--- a/lib/entry/control_task.cpp
+++ b/lib/entry/control_task.cpp
@@ -172,9 +172,9 @@
 
 void control_task::on_beacon(const schema::keeper_beacon& beacon) {
     const instant now = monotonic_now();
-    // The keeper echoes the time at which this entry sent its hello, by this process's own clock.
-    // A process that resumes after a freeze finds old beacons in its socket buffers; treating them
-    // as new would make it consider an outdated configuration current.
+    // The keeper echoes the time at which this entry sent its heartbeat, by this process's own
+    // clock. A process that resumes after a freeze finds old beacons in its socket buffers;
+    // treating them as new would make it consider an outdated configuration current.
     const microseconds age = now - from_us(beacon.sent_at_us());
     if (beacon.leads_control())
         freshness_.saw(beacon.beacon_term(), beacon.beacon(),
--- a/lib/entry/crash_tracker.cpp
+++ b/lib/entry/crash_tracker.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 constexpr milliseconds probe_timeout(400);
-// Reports of a crash within this time of the previous one are taken to be about the same crash.
+// Further reports within this time of the first are taken to be about the same crash.
 constexpr milliseconds same_crash_window(1000);
 // An exiting process closes its sockets one by one; after this delay its listening socket is closed
 // as well.
@@ -24,9 +24,10 @@
     send_probe(address, std::move(on_result), max_probes);
 }
 
-// A probe sent after the exiting process has closed the request's connection, but before it closes
-// its listening socket, is accepted and then reset. Counting that as a sign of life would leave the
-// request that caused the crash without a strike, and it could go on to crash a third engine.
+// Sends a probe, and another one if its connection is lost. A probe sent after the exiting process
+// has closed the request's connection, but before it closes its listening socket, is accepted and
+// then reset. Counting that as a sign of life would leave the request that caused the crash without
+// a strike, and it could go on to crash a third engine.
 void crash_tracker::send_probe(const http_address& address,
                                std::function<void(bool crashed)> on_result, int probes_left) {
     net::http_call probe_request;
@@ -60,6 +61,7 @@
     add_strikes(blame.certain, endpoint, now);
     if (blame.likely.empty())
         return true;
+    // Another entry may know a likelier cause. Wait for its strike before adding any here.
     task_.after(policy::blame_delay, [this, likely = blame.likely, endpoint, now] {
         if (!strikes_.knows_death(endpoint, now - policy::blame_delay))
             add_strikes(likely, endpoint, now);
--- a/lib/entry/http_task.cpp
+++ b/lib/entry/http_task.cpp
@@ -141,7 +141,7 @@
     metrics_.count("requests");
     const std::string& path = request.path;
     // Names are sent to the keepers in protobuf string fields. A message whose string is not valid
-    // UTF-8 would be dropped on the way, and the caller would wait for an answer that never comes.
+    // UTF-8 would be dropped on the way, and the caller would wait for a response that never comes.
     if (!is_valid_utf8(path) || !is_valid_utf8(request.header("idempotency-key"))) {
         context_.reject(exchange, {rejection_code::bad_request, "path and key must be UTF-8"},
                         request_id);
--- a/lib/entry/keeper_client.cpp
+++ b/lib/entry/keeper_client.cpp
@@ -63,7 +63,7 @@
         on_reply(std::move(reply));
         return;
     }
-    // The keeper is not the leader or cannot answer now. Retry after a short delay, at the leader
+    // The keeper is not the leader or cannot reply now. Retry after a short delay, at the leader
     // that it named, if any.
     leaders_.erase(group);
     if (!reply.leader().empty())
--- a/lib/entry/online_answers.cpp
+++ b/lib/entry/online_answers.cpp
@@ -85,7 +85,7 @@
     return request;
 }
 
-// The answer is stored before it is sent, so that a caller whose connection breaks can fetch it
+// The response is stored before it is sent, so that a caller whose connection breaks can fetch it
 // again with the same key.
 void online_calls::store_response(const call_state& call) {
     schema::keeper_request request = make_key_finish_request(call);
@@ -100,7 +100,7 @@
             call_state* open_call = find(exchange);
             if (open_call == nullptr)
                 return;
-            // The answer is valid even if it could not be stored. The key's
+            // The response is valid even if it could not be stored. The key's
             // outcome then becomes unknown, so the request still never runs twice.
             if (reply.result() != schema::keeper_reply::done)
                 log_warning("answer_not_stored").with("request", open_call->request_id);
--- a/lib/entry/online_calls.cpp
+++ b/lib/entry/online_calls.cpp
@@ -16,7 +16,8 @@
 constexpr double retry_reserve = 20;
 constexpr milliseconds capacity_interval(50);
 constexpr milliseconds attempt_end_rate_interval(200);
-// Twice the time to first token of a lightly loaded engine (about 30 ms).
+// The least time without a first token after which batch is asked for another slot: twice the time
+// to first token of a lightly loaded engine (about 30 ms).
 constexpr milliseconds min_slot_wait(60);
 } // namespace
 
@@ -47,8 +48,8 @@
 }
 
 // Cancels the call's current attempt and releases its key. Returns whether an endpoint may have
-// received the request. That includes an attempt that got no answer yet: if it counted as not run,
-// the key would be freed and a resend of the request would run it a second time.
+// received the request. That includes an attempt that got no response yet: if it counted as not
+// run, the key would be freed and a resend of the request would run it a second time.
 bool online_calls::cancel_call(call_state& call) {
     const bool maybe_executed = call.possibly_received || call.running;
     if (call.running) {
@@ -89,8 +90,8 @@
     call_state* call = find(exchange);
     if (call == nullptr)
         return;
-    // The caller of a request that must not run twice may return with the same key for its answer,
-    // so the request runs to completion.
+    // The caller of a request that must not run twice may return with the same key for its
+    // response, so the request runs to completion.
     const bool must_complete = call->key_claimed && !call->repeatable;
     if (must_complete)
         return;
@@ -150,7 +151,7 @@
 
 // Two entries may use the same free slot before they learn of each other's calls (gossip interval:
 // 200 ms). The later call then queues in the engine behind a batch item until that item ends. A
-// call that has no first token in time therefore makes its entry ask the steward for one more slot,
+// call that has no first token in time therefore makes its entry ask the owner for one more slot,
 // even if no batch item is known to run there, since that information may be as old. Without this
 // the slowest of 40 calls took 409 ms, most of the 520 ms that a batch item ran.
 void online_calls::request_slots_for_delayed_calls(instant now) {
--- a/lib/entry/online_dispatch.cpp
+++ b/lib/entry/online_dispatch.cpp
@@ -1,4 +1,4 @@
-// Dispatch of online calls to endpoints, relaying of their answers, and retries after failures.
+// Dispatch of online calls to endpoints, relaying of their responses, and retries after failures.
 
 #include "cassia/entry/online_calls.h"
 
@@ -127,8 +127,8 @@
     call.upstream_call = client_.start(request, std::move(hooks));
 }
 
-// Engines are always asked for a stream; for a caller that didn't ask for one the answer is
-// assembled here. Without a stream a long answer could not be told from a stalled connection, and
+// Engines are always asked for a stream; for a caller that didn't ask for one the response is
+// assembled here. Without a stream a long response could not be told from a stalled connection, and
 // would have to start over when the connection breaks. An interrupted stream resumes after the
 // tokens already received.
 std::string online_calls::upstream_request_body(const call_state& call) const {
@@ -214,6 +214,7 @@
     const policy::endpoint_facts* facts = find_endpoint(*context_.view, call.endpoint);
     const bool maybe_crashed = failure.cause.code == net::errc::connection_lost && failure.sent;
     if (maybe_crashed && facts == nullptr) {
+        // The endpoint has left the view, so its address is unknown. Count it as crashed.
         handle_failure(exchange, failure, true);
         return;
     }
--- a/unittests/entry/request_text_test.cpp
+++ b/unittests/entry/request_text_test.cpp
@@ -70,7 +70,8 @@
 } // namespace
 
 // Guards against requests that fail in a healthy cluster: a request that reached a keeper which had
-// just lost the leadership must be sent again to the new leader.
+// just lost the leadership must be sent again to the new leader. A reply to an earlier transmission
+// must be ignored, and the callback run only once.
 TEST_CASE("a request is redirected to the new leader and resent when its reply is lost",
           "[entry]") {
     std::vector<sent_request> sent;
