--- a/include/cassia/entry/control_task.h
+++ b/include/cassia/entry/control_task.h
@@ -31,12 +31,12 @@
 
 struct control_task_hooks {
     /// All hooks run on the control task.
-    std::function<void(fleet_view_ptr)> on_view_changed;
+    std::function<void(cluster_view_ptr)> on_view_changed;
     std::function<void(const endpoint_id&, std::uint32_t slots)> on_yield;
     std::function<void(const std::vector<job_id>&)> on_jobs_cancelled;
 };
 
-/// An entry is considered dead after this long without a message.
+/// An entry is considered unresponsive after this long without a message.
 inline constexpr milliseconds peer_timeout(3000);
 
 class control_task {
@@ -58,7 +58,7 @@
     void report_online(std::vector<endpoint_use> uses, std::map<team_id, double> rates);
     void report_batch(std::vector<endpoint_use> uses);
     void add_strike(const policy::strike& strike);
-    /// Asks the steward of an endpoint to free this many slots by stopping batch items.
+    /// Asks the owner of an endpoint to free this many slots by stopping batch items.
     void request_yield(const endpoint_id& endpoint, std::uint32_t slots);
     /// Removes this entry from the list of entries immediately.
     void set_draining();
@@ -74,8 +74,8 @@
     void on_gossip(const schema::gossip& gossip);
     void on_yield(const schema::yield_request& yield);
     void apply_config(const schema::change_record& config);
-    schema::entry_hello make_hello() const;
-    void send_hellos();
+    schema::entry_hello make_heartbeat() const;
+    void send_heartbeats();
     void send_gossip();
     void publish_view();
     std::vector<policy::endpoint_info> endpoint_info(instant now) const;
--- a/include/cassia/entry/fleet_view.h
+++ b/include/cassia/entry/fleet_view.h
@@ -22,7 +22,7 @@
     zone_id zone;
 };
 
-struct fleet_view {
+struct cluster_view {
     std::vector<policy::endpoint_info> endpoints; ///< endpoints that may get new work
     std::vector<listed_entry> entries;             ///< entries that accept new requests
     std::uint64_t entries_version = 0;
@@ -30,15 +30,15 @@
     bool stale = true; ///< no recent beacon of the control group: `catalog` may be out of date
     std::vector<policy::strike> strikes;
     std::map<team_id, double> peer_rates; ///< requests per second through the other entries
-    /// For each work group, when its leader was last known to be alive.
+    /// For each work group, when this entry sent the last heartbeat that its leader replied to.
     std::map<group_id, instant> leader_last_heard;
-    /// The leader's own clock in its last beacon, in microseconds.
+    /// For each work group, its leader's own clock in its last beacon, in microseconds.
     std::map<group_id, std::uint64_t> leader_clocks;
 };
 
 /// The endpoint with this id, or null if it may not get new work.
-const policy::endpoint_info* find_endpoint(const fleet_view& view, const endpoint_id& id);
+const policy::endpoint_info* find_endpoint(const cluster_view& view, const endpoint_id& id);
 
-using fleet_view_ptr = std::shared_ptr<const fleet_view>;
+using cluster_view_ptr = std::shared_ptr<const cluster_view>;
 
 } // namespace cassia::entry
--- a/include/cassia/entry/http_task.h
+++ b/include/cassia/entry/http_task.h
@@ -1,5 +1,5 @@
 /// The task that serves HTTP: it receives each request, authenticates its sender and passes it to
-/// the component that answers it.
+/// the component that responds to it.
 #pragma once
 
 #include "cassia/base/metrics.h"
@@ -34,11 +34,11 @@
     metrics& counters;
     decision_log& decisions;
     net::http_server* server = nullptr;
-    fleet_view_ptr view;
+    cluster_view_ptr view;
     bool draining = false;
 
-    /// Answers the exchange with an error.
-    void refuse(exchange_id exchange, const refusal& refused, const std::string& request_id);
+    /// Responds to the exchange with an error.
+    void reject(exchange_id exchange, const rejection& rejected, const std::string& request_id);
 };
 
 /// A caller that presented a known API key.
@@ -74,7 +74,7 @@
     void run();
 
     // The following functions may be called from any task.
-    void set_view(fleet_view_ptr view);
+    void set_view(cluster_view_ptr view);
     void set_batch_uses(std::vector<endpoint_use> uses);
     /// Adds a decision made by another task to the decision log.
     void add_decision(decision added);
--- a/include/cassia/entry/online_calls.h
+++ b/include/cassia/entry/online_calls.h
@@ -50,9 +50,9 @@
         bool repeatable = true;
         std::string endpoint_path; ///< path to request from the endpoint
         std::string idempotency_key;
-        bool key_claimed = false;
+        bool key_claimed = false; ///< or may be claimed: to be finished or released
         cassia::fingerprint fingerprint;
-        std::uint64_t prefix_hash = 0;
+        std::uint64_t prefix_hash = 0; ///< of the start of the prompt; 0 without one
         instant arrived_at{};
         instant deadline{};
         bool waiting = false;
@@ -63,15 +63,15 @@
         endpoint_id endpoint;
         call_id upstream_call;
         bool running = false;
-        bool suspect = false;
-        bool has_output = false; ///< the endpoint has sent part of its answer
+        bool suspect = false;    ///< has a strike, and this attempt got no output yet
+        bool has_output = false; ///< the endpoint has sent part of its response
         instant sent_at{};
         instant slot_requested_at{}; ///< when batch was last asked to free a slot for the call
         microseconds expected_first_token{0};
-        bool alongside_batch = false;
+        bool alongside_batch = false;   ///< batch items ran at the endpoint when it was sent
         bool possibly_received = false; ///< an endpoint may have received the request
 
-        // The answer received so far.
+        // The response received so far.
         net::http_head response_head;
         std::string response_body;
         event_splitter splitter;
@@ -92,15 +92,15 @@
     void enqueue(call_state& call);
     double expected_wait_s() const;
     bool can_meet_deadline(const call_state& call) const;
-    void refuse_before_admission(const call_state& call, const refusal& refused);
+    void reject_before_admission(const call_state& call, const rejection& rejected);
 
     // Queue maintenance and termination (online_calls.cpp).
-    void refuse(exchange_id exchange, refusal refused);
+    void reject(exchange_id exchange, rejection rejected);
     bool cancel_call(call_state& call);
     void remove(exchange_id exchange);
     void refresh_rate_limits();
     void request_slots_for_delayed_calls(instant now);
-    void update_completion_rate(instant now);
+    void update_attempt_end_rate(instant now);
 
     // Dispatch (online_dispatch.cpp).
     bool try_dispatch(exchange_id exchange);
@@ -117,12 +117,12 @@
     void record_crash(const endpoint_id& endpoint);
     void retry(call_state& call, const std::string& reason);
 
-    // Answers (online_answers.cpp).
+    // Responses (online_answers.cpp).
     void record_first_token(call_state& call);
     std::string full_stream(const call_state& call) const;
     void finish(call_state& call);
     void respond(call_state& call);
-    void store_answer(const call_state& call);
+    void store_response(const call_state& call);
     schema::keeper_request make_key_finish_request(const call_state& call) const;
     void release_key(const call_state& call, bool outcome_unknown);
     void record_decision(decision_kind kind, const call_state& call, const std::string& object,
@@ -145,9 +145,9 @@
     std::map<endpoint_id, policy::batch_slot_controller> batch_slots_;
     std::map<endpoint_id, endpoint_use> batch_uses_;
     std::map<exchange_id, call_state> calls_;
-    double completions_per_second_ = 0; ///< smoothed
-    std::uint64_t completions_ = 0;     ///< attempts ended since the rate was last updated
-    instant completion_rate_updated_at_{};
+    double attempt_end_rate_ = 0;      ///< ended attempts per second, smoothed
+    std::uint64_t ended_attempts_ = 0; ///< attempts ended since the rate was last updated
+    instant attempt_end_rate_updated_at_{};
     instant capacities_published_at_{};
 };
 
--- a/lib/entry/control_view.cpp
+++ b/lib/entry/control_view.cpp
@@ -1,4 +1,4 @@
-// Builds the fleet view for the other tasks and the control task's part of the state dump.
+// Builds the cluster view for the other tasks and the control task's part of the state dump.
 
 #include "cassia/entry/control_task.h"
 
@@ -54,7 +54,7 @@
 
 void control_task::publish_view() {
     const instant now = monotonic_now();
-    std::shared_ptr<fleet_view> view = std::make_shared<fleet_view>();
+    std::shared_ptr<cluster_view> view = std::make_shared<cluster_view>();
     view->endpoints = endpoint_info(now);
     view->entries_version = entries_.version(now);
     for (const schema::entry_hello* entry : entries_.accepting(now))
@@ -99,13 +99,13 @@
     }
     dump["endpoints"] = std::move(endpoints);
     boost::json::array entries;
-    for (const schema::entry_hello* hello : live_entries)
-        entries.push_back({{"entry", hello->entry()},
-                           {"address", hello->http_address()},
-                           {"zone", hello->zone()},
-                           {"config_version", hello->config_version()},
-                           {"draining", hello->draining()},
-                           {"stale", hello->stale()}});
+    for (const schema::entry_hello* heartbeat : live_entries)
+        entries.push_back({{"entry", heartbeat->entry()},
+                           {"address", heartbeat->http_address()},
+                           {"zone", heartbeat->zone()},
+                           {"config_version", heartbeat->config_version()},
+                           {"draining", heartbeat->draining()},
+                           {"stale", heartbeat->stale()}});
     dump["entries"] = std::move(entries);
     boost::json::array strikes;
     for (const policy::strike& strike : strikes_.active(now))
--- a/lib/entry/fleet_view.cpp
+++ b/lib/entry/fleet_view.cpp
@@ -4,7 +4,7 @@
 
 namespace cassia::entry {
 
-const policy::endpoint_info* find_endpoint(const fleet_view& view, const endpoint_id& id) {
+const policy::endpoint_info* find_endpoint(const cluster_view& view, const endpoint_id& id) {
     auto found =
         std::find_if(view.endpoints.begin(), view.endpoints.end(),
                      [&id](const policy::endpoint_info& endpoint) { return endpoint.id == id; });
--- a/lib/entry/online_calls.cpp
+++ b/lib/entry/online_calls.cpp
@@ -15,8 +15,9 @@
 constexpr double retry_ratio = 0.2;
 constexpr double retry_reserve = 20;
 constexpr milliseconds capacity_interval(50);
-constexpr milliseconds completion_rate_interval(200);
-// Twice the time to first token of a lightly loaded engine (about 30 ms).
+constexpr milliseconds attempt_end_rate_interval(200);
+// The least time without a first token after which batch is asked for another slot: twice the time
+// to first token of a lightly loaded engine (about 30 ms).
 constexpr milliseconds min_slot_wait(60);
 } // namespace
 
@@ -47,8 +48,8 @@
 }
 
 // Cancels the call's current attempt and releases its key. Returns whether an endpoint may have
-// received the request. That includes an attempt that got no answer yet: if it counted as not run,
-// the key would be freed and a resend of the request would run it a second time.
+// received the request. That includes an attempt that got no response yet: if it counted as not
+// run, the key would be freed and a resend of the request would run it a second time.
 bool online_calls::cancel_call(call_state& call) {
     const bool maybe_executed = call.possibly_received || call.running;
     if (call.running) {
@@ -62,21 +63,21 @@
     return maybe_executed;
 }
 
-void online_calls::refuse(exchange_id exchange, refusal refused) {
+void online_calls::reject(exchange_id exchange, rejection rejected) {
     call_state* call = find(exchange);
     if (call == nullptr)
         return;
     const bool maybe_executed = cancel_call(*call);
-    if (maybe_executed && refused.run == run_state::no)
-        refused.run = run_state::maybe;
-    record_decision(decision_kind::refused, *call, refusal_code_name(refused.code),
-                    refused.message);
-    context_.counters.count(std::string("refused_") + refusal_code_name(refused.code));
+    if (maybe_executed && rejected.run == run_state::no)
+        rejected.run = run_state::maybe;
+    record_decision(decision_kind::refused, *call, rejection_code_name(rejected.code),
+                    rejected.message);
+    context_.counters.count(std::string("refused_") + rejection_code_name(rejected.code));
     if (call->head_sent) {
-        context_.server->stream(exchange, to_sse_event(refused, call->request_id));
+        context_.server->stream(exchange, to_sse_event(rejected, call->request_id));
         context_.server->end_stream(exchange);
     } else {
-        context_.refuse(exchange, refused, call->request_id);
+        context_.reject(exchange, rejected, call->request_id);
     }
     remove(exchange);
 }
@@ -89,8 +90,8 @@
     call_state* call = find(exchange);
     if (call == nullptr)
         return;
-    // The caller of a request that must not run twice may return with the same key for its answer,
-    // so the request runs to completion.
+    // The caller of a request that must not run twice may return with the same key for its
+    // response, so the request runs to completion.
     const bool must_complete = call->key_claimed && !call->repeatable;
     if (must_complete)
         return;
@@ -137,20 +138,20 @@
 }
 
 // Updates the smoothed rate at which attempts end, from which the queueing time is estimated.
-void online_calls::update_completion_rate(instant now) {
+void online_calls::update_attempt_end_rate(instant now) {
     constexpr double smoothing = 0.3;
     constexpr double us_per_second = 1e6;
     const double seconds =
-        static_cast<double>((now - completion_rate_updated_at_).count()) / us_per_second;
-    completions_per_second_ +=
-        smoothing * (static_cast<double>(completions_) / seconds - completions_per_second_);
-    completions_ = 0;
-    completion_rate_updated_at_ = now;
+        static_cast<double>((now - attempt_end_rate_updated_at_).count()) / us_per_second;
+    attempt_end_rate_ +=
+        smoothing * (static_cast<double>(ended_attempts_) / seconds - attempt_end_rate_);
+    ended_attempts_ = 0;
+    attempt_end_rate_updated_at_ = now;
 }
 
 // Two entries may use the same free slot before they learn of each other's calls (gossip interval:
 // 200 ms). The later call then queues in the engine behind a batch item until that item ends. A
-// call that has no first token in time therefore makes its entry ask the steward for one more slot,
+// call that has no first token in time therefore makes its entry ask the owner for one more slot,
 // even if no batch item is known to run there, since that information may be as old. Without this
 // the slowest of 40 calls took 409 ms, most of the 520 ms that a batch item ran.
 void online_calls::request_slots_for_delayed_calls(instant now) {
@@ -177,11 +178,12 @@
             continue;
         call->waiting = false;
         const bool deadline_passed = call->deadline <= now;
-        refuse(expired, deadline_passed
-                            ? refusal{refusal_code::deadline, "the deadline passed while it waited",
-                                      run_state::no, default_retry_after}
-                            : refusal{refusal_code::no_endpoint, "all endpoints are busy",
-                                      run_state::no, default_retry_after});
+        reject(expired,
+               deadline_passed
+                   ? rejection{rejection_code::deadline, "the deadline passed while it waited",
+                               run_state::no, default_retry_after}
+                   : rejection{rejection_code::no_endpoint, "all endpoints are busy", run_state::no,
+                               default_retry_after});
     }
     std::vector<exchange_id> overdue;
     for (const std::pair<const exchange_id, call_state>& open_call : calls_) {
@@ -189,9 +191,9 @@
             overdue.push_back(open_call.first);
     }
     for (const exchange_id exchange : overdue)
-        refuse(exchange, {refusal_code::deadline, "the deadline passed", run_state::maybe});
-    if (now - completion_rate_updated_at_ >= completion_rate_interval) {
-        update_completion_rate(now);
+        reject(exchange, {rejection_code::deadline, "the deadline passed", run_state::maybe});
+    if (now - attempt_end_rate_updated_at_ >= attempt_end_rate_interval) {
+        update_attempt_end_rate(now);
         report_uses();
     }
     if (now - capacities_published_at_ >= capacity_interval) {
--- a/lib/entry/online_dispatch.cpp
+++ b/lib/entry/online_dispatch.cpp
@@ -1,4 +1,4 @@
-// Dispatch of online calls to endpoints, relaying of their answers, and retries after failures.
+// Dispatch of online calls to endpoints, relaying of their responses, and retries after failures.
 
 #include "cassia/entry/online_calls.h"
 
@@ -127,8 +127,8 @@
     call.upstream_call = client_.start(request, std::move(hooks));
 }
 
-// Engines are always asked for a stream; for a caller that didn't ask for one the answer is
-// assembled here. Without a stream a long answer could not be told from a stalled connection, and
+// Engines are always asked for a stream; for a caller that didn't ask for one the response is
+// assembled here. Without a stream a long response could not be told from a stalled connection, and
 // would have to start over when the connection breaks. An interrupted stream resumes after the
 // tokens already received.
 std::string online_calls::upstream_request_body(const call_state& call) const {
@@ -187,7 +187,7 @@
 void online_calls::end_attempt(call_state& call, policy::call_result result) {
     call.running = false;
     router_.record_end(call.endpoint, call.suspect, result, monotonic_now());
-    ++completions_;
+    ++ended_attempts_;
 }
 
 void online_calls::on_end(exchange_id exchange) {
@@ -214,6 +214,7 @@
     const policy::endpoint_info* facts = find_endpoint(*context_.view, call.endpoint);
     const bool maybe_crashed = failure.cause.code == net::errc::connection_lost && failure.sent;
     if (maybe_crashed && facts == nullptr) {
+        // The endpoint has left the view, so its address is unknown. Count it as crashed.
         handle_failure(exchange, failure, true);
         return;
     }
@@ -249,20 +250,21 @@
     call.failed_endpoints.insert(call.endpoint);
     end_attempt(call, policy::call_result::failed);
     if (crash_tracker_.is_quarantined(call.fingerprint)) {
-        refuse(exchange,
-               {refusal_code::quarantined, "this request crashed endpoints", run_state::yes});
+        reject(exchange,
+               {rejection_code::quarantined, "this request crashed endpoints", run_state::yes});
         return;
     }
     const bool may_retry = call.repeatable || !failure.sent;
     if (!may_retry) {
-        refuse(exchange,
-               {refusal_code::outcome_unknown,
+        reject(exchange,
+               {rejection_code::outcome_unknown,
                 "the endpoint was lost while it ran: " + failure.cause.text, run_state::maybe});
         return;
     }
     if (call.attempts >= max_attempts || (failure.sent && !retry_budget_.take())) {
-        refuse(exchange, {refusal_code::endpoint_failed, "endpoints failed: " + failure.cause.text,
-                          run_state::no, default_retry_after});
+        reject(exchange,
+               {rejection_code::endpoint_failed, "endpoints failed: " + failure.cause.text,
+                run_state::no, default_retry_after});
         return;
     }
     retry(call, failure.cause.text);
