--- a/include/cassia/entry/fleet_view.h
+++ b/include/cassia/entry/fleet_view.h
@@ -24,7 +24,7 @@
 
 struct cluster_view {
     std::vector<policy::endpoint_info> endpoints; ///< endpoints that may get new work
-    std::vector<listed_entry> entries;             ///< entries that accept new requests
+    std::vector<listed_entry> entries;            ///< entries that accept new requests
     std::uint64_t entries_version = 0;
     std::shared_ptr<const settings::catalog> catalog; ///< null until a configuration is received
     bool stale = true; ///< no recent beacon of the control group: `catalog` may be out of date
--- a/lib/entry/control_task.cpp
+++ b/lib/entry/control_task.cpp
@@ -178,7 +178,7 @@
     const microseconds age = now - from_us(beacon.sent_at_us());
     if (beacon.leads_control())
         freshness_.observe(beacon.beacon_term(), beacon.beacon(),
-                       std::chrono::duration_cast<milliseconds>(age), now);
+                           std::chrono::duration_cast<milliseconds>(age), now);
     for (const std::uint32_t group : beacon.leads()) {
         keepers_.set_leader(group_id(group), beacon.keeper());
         instant& last_heard = leader_last_heard_[group_id(group)];
@@ -240,7 +240,7 @@
                                 now - milliseconds(strike.age_ms())}) ||
                   changed;
     freshness_.observe(gossip.beacon_term(), gossip.beacon(), milliseconds(gossip.beacon_age_ms()),
-                   now);
+                       now);
     if (gossip.has_config())
         apply_config(gossip.config());
     if (changed)
--- a/lib/entry/online_answers.cpp
+++ b/lib/entry/online_answers.cpp
@@ -143,8 +143,8 @@
             batch_slots_.emplace(facts.id, policy::batch_slot_controller(slots_settings)).first;
         endpoint_batch_slots->second.set_tolerated_slowdown(slowdown);
         batch_capacity& capacity = capacities[facts.id];
-        capacity.slots =
-            endpoint_batch_slots->second.allowed_slots(facts.max_running, router_.online(facts.id), now);
+        capacity.slots = endpoint_batch_slots->second.allowed_slots(facts.max_running,
+                                                                    router_.online(facts.id), now);
         capacity.suspect_running = router_.own_suspects(facts.id) + facts.remote_suspects > 0;
     }
     on_batch_capacities_(std::move(capacities));
--- a/lib/gateway/dispatch_timeouts.cpp
+++ b/lib/gateway/dispatch_timeouts.cpp
@@ -107,7 +107,7 @@
 
 microseconds dispatcher::stall_timeout(const online_call& call) {
     return paces_[call.service].stall_timeout(call.longest_pause,
-                                            milliseconds(call.route->pause_ms()));
+                                              milliseconds(call.route->pause_ms()));
 }
 
 microseconds dispatcher::inactivity_timeout(const online_call& call) const {
--- a/lib/gateway/item_runner.cpp
+++ b/lib/gateway/item_runner.cpp
@@ -141,8 +141,9 @@
     std::vector<std::tuple<bool, std::uint64_t, item_key>> ready;
     for (const std::pair<const item_key, std::unique_ptr<held_item>>& keyed_item : items_) {
         if (keyed_item.second->upstream_call == call_id() && now >= keyed_item.second->ready_at)
-            ready.emplace_back(policy::would_miss_deadline(keyed_item.second->leased.deadline(), unix_ms),
-                               keyed_item.second->leased.deadline(), keyed_item.first);
+            ready.emplace_back(
+                policy::would_miss_deadline(keyed_item.second->leased.deadline(), unix_ms),
+                keyed_item.second->leased.deadline(), keyed_item.first);
     }
     // By deadline, items without one first; those that would end too late come last.
     std::sort(ready.begin(), ready.end());
--- a/lib/gateway/service_status.cpp
+++ b/lib/gateway/service_status.cpp
@@ -64,7 +64,8 @@
     out["endpoint_connections_made"] = client_->counts().connections_made;
     out["endpoint_connections_reused"] = client_->counts().connections_reused;
     boost::json::object usage;
-    for (const std::pair<const endpoint_id, policy::slot_usage>& endpoint_usage : slots_.own_usage())
+    for (const std::pair<const endpoint_id, policy::slot_usage>& endpoint_usage :
+         slots_.own_usage())
         usage[endpoint_usage.first.str()] = {{"online", endpoint_usage.second.online},
                                              {"batch", endpoint_usage.second.batch}};
     out["own_uses"] = std::move(usage);
--- a/lib/gateway/usage_coordinator.cpp
+++ b/lib/gateway/usage_coordinator.cpp
@@ -81,7 +81,7 @@
         break;
     case schema::envelope::kUsage:
         exchange_.receive_report(entry_id(message.usage().entry()), decode_usage(message.usage()),
-                              monotonic_now());
+                                 monotonic_now());
         break;
     case schema::envelope::kSums:
         on_zone_sums(message.sums());
@@ -98,7 +98,8 @@
     policy::zone_usage_map zones;
     for (const schema::zone_usage& zone : sums.zones())
         zones[zone_id(zone.zone())] = std::make_shared<slot_usage_map>(decode_usage(zone));
-    if (!exchange_.receive_sums(entry_id(sums.entry()), zone_id(sums.zone()), zones, monotonic_now()))
+    if (!exchange_.receive_sums(entry_id(sums.entry()), zone_id(sums.zone()), zones,
+                                monotonic_now()))
         return;
     for (const policy::zone_usage_map::value_type& zone : zones)
         hooks_.on_usage(policy::usage_exchange::zone_key(zone.first), *zone.second);
--- a/lib/keeper/group_replica.cpp
+++ b/lib/keeper/group_replica.cpp
@@ -176,7 +176,8 @@
         const consensus::log_entry_ptr& last = actions.new_entries.back();
         pending.appended.push_back({settings_.group, last->index(), term_number(last->term())});
     }
-    std::move(actions.messages_after_sync.begin(), actions.messages_after_sync.end(), std::back_inserter(pending.messages));
+    std::move(actions.messages_after_sync.begin(), actions.messages_after_sync.end(),
+              std::back_inserter(pending.messages));
 }
 
 void group_replica::on_persisted(std::uint64_t index, term_number term) {
