--- a/include/cassia/consensus/raft_group.h
+++ b/include/cassia/consensus/raft_group.h
@@ -23,7 +23,7 @@
 
 struct raft_settings {
     milliseconds heartbeat{100};
-    milliseconds election_timeout{700}; ///< lower bound of the random timeout, half the upper one
+    milliseconds election_timeout{700}; ///< minimum of the random timeout; the maximum is twice it
     std::size_t max_append_bytes = 1 << 20; ///< limit for the entries of one message
 };
 
--- a/include/cassia/membership/endpoint_directory.h
+++ b/include/cassia/membership/endpoint_directory.h
@@ -31,10 +31,11 @@
 public:
     explicit endpoint_directory(endpoint_directory_settings settings) : settings_(settings) {}
 
-    /// Merges an announcement made to this process. \returns whether anything but its load changed.
+    /// Merges an announcement made to this process. \returns whether the endpoint is new, starts to
+    /// leave, or changed in anything but its load; the step from leaving to gone isn't reported.
     bool merge_announcement(const schema::endpoint_record& record, instant now);
     /// Merges a record passed on by another process; `record.age_ms` is the announcement's age.
-    /// \returns whether anything but its load changed.
+    /// \returns the same as merge_announcement().
     bool merge_remote(const schema::endpoint_record& record, instant now);
     /// Merges an announcement that repeated a known record; `pulse.age_ms` is its age.
     void merge_remote(const schema::endpoint_pulse& pulse, instant now);
--- a/lib/membership/followed_keeper.cpp
+++ b/lib/membership/followed_keeper.cpp
@@ -34,6 +34,7 @@
                                 instant now) const {
     if (now < state.avoided_until)
         return false;
+    // A keeper that was just chosen may still reply at the slower rate.
     const bool just_chosen = keeper == current_ && now - current_since_ < followed_silent_after;
     const milliseconds limit =
         keeper == current_ && !just_chosen ? followed_silent_after : other_silent_after;
--- a/lib/state/job_commands.cpp
+++ b/lib/state/job_commands.cpp
@@ -9,7 +9,7 @@
 namespace cassia::state {
 
 namespace {
-constexpr std::uint8_t max_strikes = 2;
+constexpr std::uint8_t max_strikes = 2; // endpoints that died while they ran the item
 constexpr std::uint16_t max_counted_attempts = 65535;
 } // namespace
 
