--- a/include/cassia/state/control_state.h
+++ b/include/cassia/state/control_state.h
@@ -36,7 +36,7 @@
     std::uint64_t version() const;
     /// The version in force; null before the first change.
     const schema::change_record* current() const;
-    /// Accepted versions, oldest first. Only the latest few carry their texts.
+    /// Accepted versions, oldest first. Only the latest few still hold their plans and allowances.
     const std::vector<schema::change_record>& history() const { return changes_; }
 
     /// The route table in force; its version is 0 before the first one is applied.
@@ -59,7 +59,7 @@
     void trim_history();
 
     std::vector<schema::change_record> changes_;
-    std::map<std::string, std::uint64_t> versions_by_change_;
+    std::map<std::string, std::uint64_t> versions_by_change_id_;
     std::uint64_t fence_ = 0;
     std::unique_ptr<schema::route_table> routes_;
     std::unique_ptr<schema::group_members> work_founders_;
--- a/include/cassia/state/work_state.h
+++ b/include/cassia/state/work_state.h
@@ -59,15 +59,15 @@
 
 struct batch_item {
     std::uint8_t status = 0;          ///< schema::item_status
-    std::uint8_t strikes = 0;         ///< endpoints that died while they ran this item
+    std::uint8_t strikes = 0;         ///< endpoint crashes attributed to this item
     std::uint16_t attempts = 0;       ///< leases granted so far
     std::uint16_t service = 0;        ///< index in batch_job::services
     bool repeatable = true;           ///< may run more than once
     std::uint32_t body_ordinal = 0;   ///< index of the body among the items of its record
     std::uint32_t result_ordinal = 0; ///< index of the result or progress in its record
     std::uint64_t custom_id_hash = 0; ///< for lookups by custom id, whose text isn't kept
-    std::uint64_t tokens = 0;         ///< prompt plus the longest answer allowed
-    std::uint32_t failures = 0;       ///< runs to which an endpoint answered with a failure
+    std::uint64_t tokens = 0;         ///< prompt plus the longest response allowed
+    std::uint32_t failures = 0;       ///< runs that an endpoint ended with an error response
     storage::position body;           ///< record that holds the body
     storage::position result; ///< record of the result or, while unfinished, of saved progress
 };
@@ -126,13 +126,13 @@
     schema::work_reply query(const schema::work_query& query, const record_reader& read) const;
     /// Adds bodies and saved progress to the leased items of a reply to an item_lease command.
     result<void> fill_leased_items(schema::work_reply& reply, const record_reader& read) const;
-    /// Adds the stored answer to the reply to a key_claim command, if the key has one.
+    /// Adds the stored response to the reply to a key_claim command, if the key has one.
     result<void> fill_answer(schema::work_reply& reply, const std::string& team,
                              const std::string& key, const record_reader& read) const;
 
     const std::map<job_id, batch_job>& jobs() const { return jobs_; }
     std::size_t key_count() const { return keys_.size(); }
-    /// Entries, by name and incarnation, that hold leases or claims on keys.
+    /// Names (with incarnations) of the entries that hold leases or claims on keys.
     std::vector<std::string> holders() const;
     /// Items leased to a holder.
     std::set<item_key> leases_of(const std::string& holder) const;
@@ -158,7 +158,7 @@
         key_status status = key_status::running;
         std::uint64_t at = 0; ///< time of the claim, later of the finish, in Unix ms
         std::uint64_t retention_ms = 0;
-        storage::position answer; ///< record of the key_finish command
+        storage::position response; ///< record of the key_finish command
     };
     static bool is_key_expired(const idempotency_key& key, std::uint64_t now);
 
--- a/lib/state/control_state.cpp
+++ b/lib/state/control_state.cpp
@@ -8,10 +8,10 @@
 namespace cassia::state {
 
 namespace {
-// The texts of a version are large, and only those of recent versions are ever sent. Change ids and
-// digests are kept for many more versions, so that an operator who resends a change after days
-// still gets the original answer.
-constexpr std::size_t max_versions_with_texts = 8;
+// The plans and allowances of a version are large, and only those of recent versions are ever sent.
+// Change ids and digests are kept for many more versions, so that an operator who resends a change
+// after days still gets the original reply.
+constexpr std::size_t max_versions_with_documents = 8;
 constexpr std::size_t max_versions = 50000;
 } // namespace
 
@@ -53,8 +53,8 @@
 schema::control_reply control_state::apply_change(const schema::change_command& change) {
     schema::control_reply reply;
     const std::string digest = content_digest(change);
-    auto previous = versions_by_change_.find(change.change_id());
-    if (previous != versions_by_change_.end()) {
+    auto previous = versions_by_change_id_.find(change.change_id());
+    if (previous != versions_by_change_id_.end()) {
         const std::uint64_t first_version = changes_.front().version();
         const schema::change_record& record = changes_[previous->second - first_version];
         const bool same_content = record.digest() == digest;
@@ -80,7 +80,7 @@
     record.set_allowances(change.allowances());
     record.set_at(change.at());
     record.set_digest(digest);
-    versions_by_change_[change.change_id()] = record.version();
+    versions_by_change_id_[change.change_id()] = record.version();
     changes_.push_back(std::move(record));
     trim_history();
     reply.set_result(schema::control_reply::accepted);
@@ -126,13 +126,13 @@
 }
 
 void control_state::trim_history() {
-    if (changes_.size() > max_versions_with_texts) {
-        schema::change_record& record = changes_[changes_.size() - max_versions_with_texts - 1];
+    if (changes_.size() > max_versions_with_documents) {
+        schema::change_record& record = changes_[changes_.size() - max_versions_with_documents - 1];
         record.clear_plans();
         record.clear_allowances();
     }
     if (changes_.size() > max_versions) {
-        versions_by_change_.erase(changes_.front().change_id());
+        versions_by_change_id_.erase(changes_.front().change_id());
         changes_.erase(changes_.begin());
     }
 }
@@ -155,7 +155,7 @@
         return failure(error{errc::bad_image, "can't parse the state image of the control group"});
     control_state loaded;
     for (const schema::change_record& change : image.changes()) {
-        loaded.versions_by_change_[change.change_id()] = change.version();
+        loaded.versions_by_change_id_[change.change_id()] = change.version();
         loaded.changes_.push_back(change);
     }
     loaded.fence_ = image.fence();
--- a/lib/state/job_commands.cpp
+++ b/lib/state/job_commands.cpp
@@ -9,7 +9,7 @@
 namespace cassia::state {
 
 namespace {
-constexpr std::uint8_t max_strikes = 2; // endpoints that died while they ran the item
+constexpr std::uint8_t max_strikes = 2; // crashes of endpoints attributed to an item
 constexpr std::uint16_t max_counted_attempts = 65535;
 } // namespace
 
@@ -120,26 +120,26 @@
     return sum;
 }
 
-// The limit is checked against the replicated state: if each entry checked its own counts, several
-// entries could use up the same remaining quota at once.
+// The limit on waiting tokens is checked when the command is applied: if each entry checked its own
+// counts, several entries could use up the same remaining quota at once.
 schema::work_reply work_state::submit_job(const schema::job_submit& submit,
                                           const storage::position& position) {
     const schema::job_begin& begin = submit.begin();
     auto found = jobs_.find(job_id(begin.job()));
-    const bool known = found != jobs_.end() && found->second.status != job_status::loading;
+    const bool committed = found != jobs_.end() && found->second.status != job_status::loading;
     std::uint64_t tokens = 0;
     for (const schema::item_body& item : submit.items().items())
         tokens += item.tokens();
     const bool fits =
         begin.max_waiting_tokens() == 0 ||
         waiting_tokens(begin.route(), team_id(begin.team())) + tokens <= begin.max_waiting_tokens();
-    if (!known && !fits) {
-        schema::work_reply refused;
-        refused.set_result(schema::work_reply::over_quota);
-        return refused;
+    if (!committed && !fits) {
+        schema::work_reply rejected;
+        rejected.set_result(schema::work_reply::over_quota);
+        return rejected;
     }
     schema::work_reply reply = begin_job(begin);
-    if (known)
+    if (committed)
         return reply;
     add_items(submit.items(), position);
     schema::job_commit commit;
@@ -150,9 +150,9 @@
 
 schema::work_reply work_state::cancel_job(const schema::job_cancel& cancel) {
     auto found = jobs_.find(job_id(cancel.job()));
-    const bool known = found != jobs_.end() && found->second.status != job_status::loading &&
-                       found->second.team.str() == cancel.team();
-    if (!known)
+    const bool visible = found != jobs_.end() && found->second.status != job_status::loading &&
+                         found->second.team.str() == cancel.team();
+    if (!visible)
         return missing("job");
     batch_job& job = found->second;
     if (!is_active(job)) {
--- a/lib/state/key_commands.cpp
+++ b/lib/state/key_commands.cpp
@@ -1,6 +1,6 @@
 // Commands on idempotency keys.
 //
-// A key is claimed durably before its request is dispatched, and the answer is stored before the
+// A key is claimed durably before its request is dispatched, and the response is stored before the
 // caller gets it. If the same request reaches several entries at once, the replicated claim decides
 // which of them runs it, never a local cache.
 
@@ -64,7 +64,7 @@
     }
     found->second.at = finish.at();
     found->second.status = finish.outcome_unknown() ? key_status::unknown : key_status::done;
-    found->second.answer = position;
+    found->second.response = position;
     return reply;
 }
 
@@ -90,11 +90,11 @@
     auto found = keys_.find({team, key});
     if (found == keys_.end() || found->second.status != key_status::done)
         return success();
-    storage::result<std::string> record = read(found->second.answer);
+    storage::result<std::string> record = read(found->second.response);
     schema::work_command command;
     if (!record || !command.ParseFromString(record.value()) || !command.has_finish())
         return failure(
-            error{errc::lost_body, "the log record of a stored answer is missing or damaged"});
+            error{errc::lost_body, "the log record of a stored response is missing or damaged"});
     *reply.mutable_answer() = command.finish().answer();
     return success();
 }
--- a/lib/state/work_image.cpp
+++ b/lib/state/work_image.cpp
@@ -109,7 +109,7 @@
         out->set_status(static_cast<std::uint32_t>(key.second.status));
         out->set_at(key.second.at);
         out->set_retention_ms(key.second.retention_ms);
-        write_position(key.second.answer, *out->mutable_answer());
+        write_position(key.second.response, *out->mutable_answer());
     }
     return image.SerializeAsString();
 }
@@ -218,7 +218,7 @@
         key.status = static_cast<key_status>(in.status());
         key.at = in.at();
         key.retention_ms = in.retention_ms();
-        key.answer = read_position(in.answer());
+        key.response = read_position(in.answer());
     }
     return loaded;
 }
--- a/lib/state/work_state.cpp
+++ b/lib/state/work_state.cpp
@@ -125,7 +125,7 @@
         }
     }
     for (const std::pair<const key_name, idempotency_key>& key : keys_)
-        referenced.insert(key.second.answer);
+        referenced.insert(key.second.response);
     referenced.erase(storage::position());
     return referenced;
 }
@@ -144,7 +144,7 @@
         }
     }
     for (std::pair<const key_name, idempotency_key>& key : keys_)
-        remap(key.second.answer);
+        remap(key.second.response);
 }
 
 } // namespace cassia::state
--- a/unittests/state/work_state_test.cpp
+++ b/unittests/state/work_state_test.cpp
@@ -169,7 +169,7 @@
 
 } // namespace
 
-TEST_CASE("a job runs from submission to readable results", "[state]") {
+TEST_CASE("a job runs to completion and returns each result with its custom id", "[state]") {
     test_group group;
     group.submit("job", 3);
     const schema::work_reply leased = group.lease("job", "entry/1", {0, 1, 2});
@@ -292,7 +292,7 @@
     CHECK(group.cancel("job").result() == schema::work_reply::done);
 }
 
-TEST_CASE("an item fails after two endpoints died while they ran it", "[state]") {
+TEST_CASE("an item fails after two endpoint crashes are attributed to it", "[state]") {
     test_group group;
     group.submit("job", 1);
     group.lease("job", "entry/1", {0});
@@ -304,7 +304,7 @@
 }
 
 // Guards against a request that runs twice because its caller resent it through another entry.
-TEST_CASE("only one request with a key runs, and its answer is replayed", "[state]") {
+TEST_CASE("only one request with a key runs, and its response is replayed", "[state]") {
     test_group group;
     CHECK(group.claim("r-1", "print", false).result() == schema::work_reply::done);
     CHECK(group.claim("r-2", "print", false).result() == schema::work_reply::in_progress);
