--- a/include/cassia/consensus/raft_group.h
+++ b/include/cassia/consensus/raft_group.h
@@ -27,8 +27,8 @@
     std::size_t max_append_bytes = 1 << 20; ///< limit for the entries of one message
 };
 
-/// State that must survive a restart (the "hard state" besides the log): the current term and the
-/// vote given in it.
+/// State besides the log that must survive a restart (Raft's "hard state"): the current term and
+/// the vote given in it.
 struct vote_state {
     term_number term;
     disk_id voted_for;
@@ -36,8 +36,8 @@
     friend bool operator==(const vote_state&, const vote_state&) = default;
 };
 
-/// Actions for the caller, in this order: write to disk, send the immediate messages, send the
-/// other messages once everything written before is synced, apply committed entries.
+/// Actions for the caller: write to disk, send the immediate messages (also before or during the
+/// write), send the other messages once everything written is synced, apply committed entries.
 struct raft_actions {
     std::optional<vote_state> vote;              ///< to write
     std::optional<std::uint64_t> truncate_after; ///< last index to keep; write before the entries
@@ -45,7 +45,7 @@
     std::vector<schema::raft_message> immediate_messages;  ///< needn't wait for a sync
     std::vector<schema::raft_message> messages_after_sync; ///< need all of the above synced
     std::vector<log_entry_ptr> committed_entries;          ///< to apply to the state
-    std::vector<disk_id> members_needing_snapshot;         ///< lag behind the start of the log
+    std::vector<disk_id> members_needing_snapshot;         ///< lack entries already compacted
     std::vector<schema::raft_message> snapshot_messages;   ///< received parts, and replies to parts
 };
 
@@ -63,8 +63,9 @@
 
     /// Appends a command if this member is the leader. \returns the index of its entry, or nothing.
     std::optional<std::uint64_t> propose(std::string command, instant now);
-    /// Appends a membership that differs by one member. Refused if this member isn't the leader or
-    /// the previous change isn't committed yet.
+    /// Appends a membership that differs by one member. Rejected unless this member is the leader,
+    /// the previous change is committed, and so is an entry of the current term. \returns the index
+    /// of its entry, or nothing.
     std::optional<std::uint64_t> propose_members(const member_list& members, instant now);
     /// Reports that all entries up to this one are synced to disk.
     void persisted(std::uint64_t index, term_number term);
@@ -75,7 +76,7 @@
     /// Reports that a member has installed the snapshot sent to it, which covers up to `index`.
     void snapshot_delivered(disk_id member, std::uint64_t index, instant now);
     /// Asks the active voter that is furthest ahead to take over leadership, if it has the whole
-    /// log.
+    /// log. Used when this member's keeper shuts down or is being retired.
     void transfer_leadership(instant now);
 
     raft_actions take_actions();
@@ -94,11 +95,11 @@
     const raft_log& log() const { return log_; }
     /// Whether a member has all committed entries; known to the leader only.
     bool caught_up(disk_id member) const;
-    /// Whether a member answered within the last two election timeouts; known to the leader only.
+    /// Whether a member replied within the last two election timeouts; known to the leader only.
     bool is_active(disk_id member, instant now) const;
 
 private:
-    /// What the leader knows of another member.
+    /// Replication progress of another member, tracked by the leader.
     struct progress {
         std::uint64_t match = 0;        ///< highest index known to be in its log
         std::uint64_t next = 1;         ///< index of the next entry to send
@@ -106,7 +107,7 @@
         bool awaiting_snapshot = false; ///< gets heartbeats only until a snapshot is installed
         std::uint64_t sent_commit = 0;  ///< highest commit index sent
         instant last_reply{};           ///< arrival of its last reply; first, when it was added
-        instant acked_send_time{};      ///< when the latest append that it answered was sent
+        instant acked_send_time{};      ///< send time of the latest append that it replied to
         instant last_sent{};            ///< when the last append was sent
     };
 
@@ -115,7 +116,7 @@
     void become_follower(term_number term, disk_id leader, instant now);
     /// Why an election was started.
     enum class election_cause : std::uint8_t {
-        timeout,  ///< no leader was heard for an election timeout
+        timeout,  ///< no message from a leader for an election timeout
         transfer, ///< the leader transfers its leadership to this member
         restart,  ///< all voters have just started, so no leader can exist
     };
@@ -155,7 +156,7 @@
     raft_role role_ = raft_role::follower;
     disk_id leader_;
     instant election_due_{};
-    instant leader_last_heard_{};
+    instant last_leader_contact_{};
     instant started_at_{};
     instant restart_election_due_{};
     bool leader_seen_ = false; ///< since the start of this process
--- a/lib/consensus/raft_election.cpp
+++ b/lib/consensus/raft_election.cpp
@@ -28,7 +28,7 @@
     votes_.clear();
     progress_.clear();
     if (leader != disk_id()) {
-        leader_last_heard_ = now;
+        last_leader_contact_ = now;
         reset_election_timer(now);
     }
 }
@@ -68,9 +68,9 @@
     }
 }
 
-// A pre-vote after a restart of all members must be granted by every voter. The previous leader,
-// whichever it was, is then among them and leads no more, so there is no lease to wait for. A
-// quorum isn't enough: the voter left out may be the previous leader, which may still serve reads.
+// A pre-vote after a restart of all members must be granted by every voter. The previous leader is
+// then among them and no longer leads, so there is no lease to wait for. A quorum isn't enough: the
+// voter left out may be the previous leader, which may still serve reads.
 std::size_t raft_group::votes_needed() const {
     if (!in_pre_vote_ || election_cause_ != election_cause::restart)
         return quorum();
@@ -97,7 +97,7 @@
 bool raft_group::has_live_leader(instant now) const {
     if (role_ == raft_role::leader)
         return true;
-    return now - leader_last_heard_ < settings_.election_timeout;
+    return now - last_leader_contact_ < settings_.election_timeout;
 }
 
 void raft_group::receive_vote_request(const schema::raft_message& message, instant now) {
@@ -105,8 +105,9 @@
     const bool pre_vote = message.kind() == kind::pre_vote;
     const term_number term(message.term());
     const disk_id candidate(message.from());
-    // Leader stickiness, on which the leader's lease relies: a member that hears from a leader
-    // doesn't elect another one, unless that leader itself asked for the election.
+    // Leader stickiness, on which the leader's lease relies: a member that received a message from
+    // a leader within an election timeout doesn't elect another one, unless that leader itself
+    // asked for the election or all members have just started.
     const bool all_restarted = message.restart() && has_just_started(now);
     const bool keeps_leader = has_live_leader(now) && !message.forced() && !all_restarted;
     if (!pre_vote && !keeps_leader && term > vote_.term)
--- a/lib/consensus/raft_group.cpp
+++ b/lib/consensus/raft_group.cpp
@@ -14,10 +14,10 @@
     commit_ = log_.base_index();
     applied_ = log_.base_index();
     synced_ = log_.last_index();
-    // A restarted member doesn't know when it last heard from a leader. A leader's lease relies on
-    // this member refusing votes for an election timeout; if it voted immediately, that leader
-    // could be replaced while it still serves reads.
-    leader_last_heard_ = now;
+    // A restarted member doesn't know when it last received a message from a leader. A leader's
+    // lease relies on this member rejecting vote requests for an election timeout; if it voted
+    // immediately, that leader could be replaced while it still serves reads.
+    last_leader_contact_ = now;
     started_at_ = now;
     reset_election_timer(now);
 }
@@ -105,24 +105,24 @@
 bool raft_group::may_read(instant now) const {
     if (role_ != raft_role::leader || applied_ < term_start_)
         return false;
-    // The lease starts when this member, by its own clock, sent the append that a quorum has
-    // answered: each of those members refuses to elect another leader for an election timeout after
-    // it received the append. A quarter of the timeout is the margin for clocks that run at
+    // The lease starts at the time, by this member's own clock, when it sent the latest append that
+    // a quorum has replied to: each of those members rejects vote requests for an election timeout
+    // after it received the append. A quarter of the timeout is the margin for clocks that run at
     // different speeds.
-    std::vector<instant> send_times;
+    std::vector<instant> acked_send_times;
     for (const member& group_member : log_.members()) {
         if (!group_member.voter)
             continue;
         const bool own = group_member.disk == self_;
         auto found = progress_.find(group_member.disk);
-        send_times.push_back(own                        ? now
-                             : found == progress_.end() ? instant()
-                                                        : found->second.acked_send_time);
+        acked_send_times.push_back(own                        ? now
+                                   : found == progress_.end() ? instant()
+                                                              : found->second.acked_send_time);
     }
-    if (send_times.empty())
+    if (acked_send_times.empty())
         return false;
-    std::sort(send_times.begin(), send_times.end(), std::greater<>());
-    const instant lease_start = send_times[quorum() - 1];
+    std::sort(acked_send_times.begin(), acked_send_times.end(), std::greater<>());
+    const instant lease_start = acked_send_times[quorum() - 1];
     return now < lease_start + settings_.election_timeout * 3 / 4;
 }
 
--- a/lib/consensus/raft_replication.cpp
+++ b/lib/consensus/raft_replication.cpp
@@ -86,8 +86,8 @@
     message.set_index_term(log_.term_at(previous).value());
     message.set_commit(commit_);
     message.set_sent_at_us(to_us(now));
-    // Bounds what is queued for a failed or slow member: one that doesn't answer gets no entries,
-    // and any other has a limited number of unacknowledged ones.
+    // Bounds what is queued for a failed or slow member: an inactive member gets no entries, and an
+    // active one has a limited number of unacknowledged entries.
     constexpr std::uint64_t max_in_flight_entries = 512;
     const bool inactive = !is_active(to, now);
     const bool window_full = !peer.probing && peer.next > peer.match + max_in_flight_entries;
@@ -119,9 +119,9 @@
             ? previous + static_cast<std::uint64_t>(message.entries_size()) >= log_.base_index()
             : log_.holds(previous, term_number(message.index_term()));
     if (!logs_match || log_.members().empty()) {
-        // Hint for the leader's next attempt: the last entry of this log or, if this log has an
-        // entry of another term there, the entry before the preceding term, but no committed entry
-        // is skipped.
+        // Hint for the leader's next attempt. A log that is too short hints at its last entry. If
+        // the entry at `previous` has another term, all entries of the term just before it may
+        // differ too, so the hint skips that term, but no committed entry.
         std::uint64_t hint = std::min(previous == 0 ? 0 : previous - 1, log_.last_index());
         if (previous <= log_.last_index() && hint > log_.base_index()) {
             const term_number skipped_term = log_.term_at(hint);
@@ -184,8 +184,8 @@
         peer.probing = true;
         peer.next = std::min(std::max(peer.match, message.index()) + 1, log_.last_index() + 1);
         // When a partition heals, all messages queued during it are rejected at once. Only the
-        // rejection of the latest one is answered with entries: an append may have a megabyte, and
-        // a hundred of them exceeded a keeper's memory limit.
+        // rejection of the latest append triggers a resend: an append may have a megabyte, and a
+        // hundred of them exceeded a keeper's memory limit.
         if (from_us(message.sent_at_us()) >= peer.last_sent)
             send_append(found->first, now);
         return;
--- a/unittests/consensus/raft_rules_test.cpp
+++ b/unittests/consensus/raft_rules_test.cpp
@@ -40,7 +40,7 @@
 } // namespace
 
 // Guards against a leader that serves reads by its lease while another member already leads: a
-// restarted member doesn't know that it heard from the leader and votes for another one at once.
+// restarted member no longer knows the leader and votes for another one at once.
 TEST_CASE("a restarted member grants no vote before an election timeout has passed",
           "[consensus]") {
     raft_group group = make_member(1, 3, start);
@@ -83,8 +83,8 @@
     CHECK(group.take_actions().messages_after_sync.empty());
 }
 
-// Guards against a partitioned leader whose entries keep relying on it although the other members
-// have elected another leader and accepted changes.
+// Guards against a partitioned leader that still serves reads although the other members have
+// elected another leader and accepted changes.
 TEST_CASE("a leader without a quorum stops serving reads and then steps down", "[consensus]") {
     raft_group group = make_member(1, 1, start);
     group.tick(start + milliseconds(1500));
@@ -106,7 +106,7 @@
     CHECK_FALSE(group.leads());
 }
 
-TEST_CASE("only one membership change is in progress at a time", "[consensus]") {
+TEST_CASE("a membership change is rejected until the previous one is committed", "[consensus]") {
     raft_group group = make_member(1, 1, start);
     group.tick(start + milliseconds(1500));
     const raft_actions actions = group.take_actions();
@@ -121,7 +121,7 @@
 // Guards against a leader that exceeds its memory limit after a partition heals: the partitioned
 // member gets all heartbeats queued during the partition at once and rejects each, because it lacks
 // earlier entries. The leader must not answer each rejection with a megabyte of its log.
-TEST_CASE("a leader answers a burst of old rejections with entries only once", "[consensus]") {
+TEST_CASE("a leader resends entries only once after a burst of old rejections", "[consensus]") {
     raft_group group = make_member(1, 1, start);
     const instant elected_at = start + milliseconds(1500);
     group.tick(elected_at);
