--- a/include/cassia/membership/beacon_freshness.h
+++ b/include/cassia/membership/beacon_freshness.h
@@ -1,8 +1,8 @@
-/// Whether an entry's configuration may be outdated, judged by the age of the newest beacon.
+/// Whether an entry's configuration may be outdated, judged by the age of the newest quorum proof.
 ///
-/// The leader of the control group increments the beacon number while it has a quorum, and gossip
-/// spreads the beacon. An entry that sees no new beacon may be partitioned and miss accepted
-/// changes; it must not serve by its old configuration.
+/// The quorum proof, or beacon, is a number that the leader of the control group increments while
+/// it has a quorum, and that gossip spreads. An entry that receives no new one may be partitioned
+/// and miss accepted changes; it must not serve by its old configuration.
 #pragma once
 
 #include "cassia/base/clock.h"
@@ -16,7 +16,7 @@
 public:
     explicit beacon_freshness(milliseconds stale_after) : stale_after_(stale_after) {}
 
-    /// Records a beacon. \param age time since the sender first saw it.
+    /// Records a quorum proof. \param age time since the sender first saw it.
     void observe(std::uint64_t term, std::uint64_t beacon, milliseconds age, instant now);
     bool is_stale(instant now) const;
 
@@ -26,7 +26,7 @@
 
 private:
     milliseconds stale_after_;
-    std::pair<std::uint64_t, std::uint64_t> newest_{0, 0}; ///< term and beacon number
+    std::pair<std::uint64_t, std::uint64_t> newest_{0, 0}; ///< term and number of the quorum proof
     instant first_seen_{};
     bool seen_any_ = false;
 };
--- a/include/cassia/membership/endpoint_directory.h
+++ b/include/cassia/membership/endpoint_directory.h
@@ -1,5 +1,5 @@
 /// Known endpoints and whether they are alive, from the announcements that this process receives
-/// and from those that other processes pass on. Does no I/O; the time is passed in.
+/// and from those that other processes forward. Does no I/O; the time is passed in.
 #pragma once
 
 #include "cassia/base/clock.h"
@@ -13,8 +13,8 @@
 namespace cassia::membership {
 
 struct endpoint_directory_settings {
-    milliseconds silent_after{3000};  ///< time without an announcement until new work stops
-    milliseconds forget_after{60000}; ///< time without an announcement until removal
+    milliseconds unresponsive_after{3000}; ///< time without an announcement until new work stops
+    milliseconds forget_after{60000};      ///< time without an announcement until removal
 };
 
 /// An endpoint with its latest announcement.
@@ -23,8 +23,8 @@
     instant last_heard{};               ///< time of its latest announcement to any process
     instant last_heard_directly{};      ///< time of its latest announcement to this process
     bool leaving = false;               ///< takes no new work; final for the incarnation
-    std::uint64_t changed_revision = 0; ///< directory revision of its last change, load apart
-    std::uint64_t heard_revision = 0;   ///< directory revision of its latest announcement
+    std::uint64_t changed_revision = 0; ///< revision of its last change, except of its load
+    std::uint64_t heard_revision = 0;   ///< revision of its latest announcement
 };
 
 class endpoint_directory {
@@ -34,29 +34,31 @@
     /// Merges an announcement made to this process. \returns whether the endpoint is new, starts to
     /// leave, or changed in anything but its load; the step from leaving to gone isn't reported.
     bool merge_announcement(const schema::endpoint_record& record, instant now);
-    /// Merges a record passed on by another process; `record.age_ms` is the announcement's age.
+    /// Merges a record forwarded by another process; `record.age_ms` is the announcement's age.
     /// \returns the same as merge_announcement().
     bool merge_remote(const schema::endpoint_record& record, instant now);
-    /// Merges an announcement that repeated a known record; `pulse.age_ms` is its age.
+    /// Merges a liveness report: an announcement that repeated a known record. `pulse.age_ms` is
+    /// its age.
     void merge_remote(const schema::endpoint_pulse& pulse, instant now);
 
     /// Endpoints that may get new work: alive and not leaving.
     std::vector<const endpoint_state*> serving(instant now) const;
-    /// Records announced to this process within `silent_after`, with ages, to pass on to others.
+    /// Records announced to this process within `unresponsive_after`, with ages, to forward to
+    /// other processes.
     std::vector<schema::endpoint_record> directly_heard_records(instant now) const;
     const std::map<endpoint_id, endpoint_state>& all() const { return endpoints_; }
-    /// Increases with each change of an endpoint and with each announcement.
+    /// Directory revision: increases with each change of an endpoint and with each announcement.
     std::uint64_t revision() const { return revision_; }
-    /// Number of changes; announcements that change nothing don't count.
+    /// Number of changes; announcements that change nothing but the load don't count.
     std::uint64_t changes() const { return changes_; }
-    /// Whether the latest announcement of any endpoint in service is older than `silence`.
-    bool any_silent_for(milliseconds silence, instant now) const;
-    /// Endpoints announced after a revision without a change, with ages.
+    /// Whether the latest announcement of any endpoint in service is older than `timeout`.
+    bool any_unresponsive_for(milliseconds timeout, instant now) const;
+    /// Liveness reports, with ages, of the endpoints announced after a revision without a change.
     std::vector<schema::endpoint_pulse> pulses_since(std::uint64_t revision, instant now) const;
     /// Records that changed after a revision, with ages.
     std::vector<schema::endpoint_record> records_since(std::uint64_t revision, instant now) const;
 
-    /// Removes endpoints that haven't been heard for `forget_after`.
+    /// Removes endpoints without an announcement for `forget_after`.
     void forget_old(instant now);
 
 private:
--- a/include/cassia/membership/entry_list.h
+++ b/include/cassia/membership/entry_list.h
@@ -12,34 +12,36 @@
 
 class entry_list {
 public:
-    explicit entry_list(milliseconds silent_after) : silent_after_(silent_after) {}
+    explicit entry_list(milliseconds unresponsive_after)
+        : unresponsive_after_(unresponsive_after) {}
 
-    /// Records a hello. \param age time since the entry itself sent it.
-    void observe(const schema::entry_hello& hello, milliseconds age, instant now);
+    /// Records a heartbeat. \param age time since the entry itself sent it.
+    void observe(const schema::entry_hello& heartbeat, milliseconds age, instant now);
 
-    /// Entries heard within `silent_after`, each in its latest incarnation.
+    /// Latest heartbeats of the entries last seen within `unresponsive_after`, each of its latest
+    /// incarnation.
     std::vector<const schema::entry_hello*> alive(instant now) const;
     /// Alive entries that accept new requests: neither draining nor stale.
     std::vector<const schema::entry_hello*> accepting(instant now) const;
     /// Version of the list of accepting entries; increases when that list has changed.
     std::uint64_t version(instant now);
 
-    /// Removes entries that haven't been heard for a minute.
+    /// Removes entries last seen more than a minute ago.
     void forget_old(instant now);
 
 private:
     struct known_entry {
-        schema::entry_hello hello;
+        schema::entry_hello heartbeat;
         instant last_seen{};
     };
 
-    milliseconds silent_after_;
+    milliseconds unresponsive_after_;
     std::map<entry_id, known_entry> entries_;
     std::vector<std::string> last_accepting_;
     std::uint64_t version_ = 0;
 };
 
-/// The steward of an endpoint: the only entry that sends batch items to it. Chosen by rendezvous
+/// The owner of an endpoint: the only entry that sends batch items to it. Chosen by rendezvous
 /// hashing over the alive entries, preferring those in the endpoint's zone, so that every entry
 /// gets the same result without coordination and few endpoints move when an entry joins or leaves.
 entry_id steward_of(const endpoint_id& endpoint, const std::string& zone,
--- a/include/cassia/membership/entry_roster.h
+++ b/include/cassia/membership/entry_roster.h
@@ -1,4 +1,4 @@
-/// Incremental distribution of the list of entries in a large fleet: a keeper's list, which has
+/// Incremental distribution of the list of entries in a large cluster: a keeper's list, which has
 /// revisions, and an entry's copy of the list of one keeper at a time. Does no I/O; the time is
 /// passed in.
 #pragma once
@@ -17,29 +17,30 @@
 class entry_roster {
 public:
     /// \param epoch identifies this list; differs after a restart of the keeper.
-    /// \param silent_after time without a hello after which an entry counts as lost.
-    entry_roster(std::uint64_t epoch, milliseconds silent_after)
-        : epoch_(epoch), silent_after_(silent_after) {}
+    /// \param unresponsive_after time without a heartbeat after which an entry counts as lost.
+    entry_roster(std::uint64_t epoch, milliseconds unresponsive_after)
+        : epoch_(epoch), unresponsive_after_(unresponsive_after) {}
 
-    void observe(const schema::entry_hello& hello, instant now);
-    /// Marks the entries that fell silent as lost, and removes those lost for long.
+    void observe(const schema::entry_hello& heartbeat, instant now);
+    /// Marks entries without a heartbeat for `unresponsive_after` as lost, and removes them after a
+    /// minute without one.
     void mark_lost(instant now);
     std::uint64_t revision() const { return revision_; }
-    /// Writes to a beacon what changed since `revision` of the list with this epoch, or the whole
-    /// list if its changes since then aren't known.
+    /// Writes to a beacon (a keeper's reply to an entry) what changed since `revision` of the list
+    /// with this epoch, or the whole list if its changes since then aren't known.
     void write(std::uint64_t epoch, std::uint64_t revision, schema::keeper_beacon& beacon,
                instant now) const;
 
 private:
     struct known_entry {
-        schema::entry_hello hello;
+        schema::entry_hello heartbeat;
         instant last_seen{};
         std::uint64_t changed_revision = 0; ///< revision of its last change
         bool lost = false;
     };
 
     std::uint64_t epoch_;
-    milliseconds silent_after_;
+    milliseconds unresponsive_after_;
     std::map<std::string, known_entry> entries_;
     std::uint64_t revision_ = 1;
     std::uint64_t forgotten_revision_ = 0; ///< newest change of any removed entry
@@ -54,7 +55,7 @@
     /// Sets the keeper to copy from.
     void follow(const peer_address& source);
     /// Writes the epoch and revision of this copy, so that the keeper sends what changed since.
-    void write(schema::entry_hello& hello) const;
+    void write(schema::entry_hello& heartbeat) const;
     /// Applies the list, or its changes, in a beacon of the keeper. \returns whether the list
     /// changed.
     bool apply_beacon(const peer_address& keeper, const schema::keeper_beacon& beacon);
--- a/include/cassia/membership/followed_keeper.h
+++ b/include/cassia/membership/followed_keeper.h
@@ -13,19 +13,20 @@
 
 class followed_keeper {
 public:
-    /// \param self name of this entry; its hash distributes entries over the keepers of a zone.
+    /// \param self name of this entry; its hash distributes entries over keepers of equal
+    /// preference.
     followed_keeper(std::string self, zone_id zone)
         : self_(std::move(self)), zone_(std::move(zone)) {}
 
     /// Records a reply of a keeper. \param in_touch whether the keeper leads the control group or
-    /// hears its leader.
+    /// receives messages from its leader.
     void record_reply(const peer_address& keeper, bool in_touch, instant now);
     void set_zone(const peer_address& keeper, zone_id zone);
     void forget(const peer_address& keeper);
     /// The keeper to follow now. Prefers keepers in touch with the leader; empty if no keeper is
     /// usable.
     const peer_address& choose(instant now);
-    /// Whether the chosen keeper leads the control group or hears its leader.
+    /// Whether the chosen keeper leads the control group or receives messages from its leader.
     bool is_in_touch() const;
 
 private:
--- a/lib/membership/beacon_freshness.cpp
+++ b/lib/membership/beacon_freshness.cpp
@@ -7,8 +7,8 @@
 void beacon_freshness::observe(std::uint64_t term, std::uint64_t beacon, milliseconds age,
                                instant now) {
     const std::pair<std::uint64_t, std::uint64_t> observed{term, beacon};
-    // A beacon keeps its age when it is passed on, so that entries that are partitioned together
-    // don't keep each other fresh.
+    // A quorum proof keeps its age when it is forwarded, so that entries that are partitioned
+    // together don't keep each other fresh.
     if (observed > newest_ || !seen_any_) {
         newest_ = observed;
         first_seen_ = now - age;
--- a/lib/membership/endpoint_directory.cpp
+++ b/lib/membership/endpoint_directory.cpp
@@ -113,9 +113,9 @@
     return starts_leaving || changed;
 }
 
-// Nearly all announcements repeat the previous one. Passing on the whole records of 60 endpoints
-// kept every gateway and keeper of a large fleet busy, so only a pulse is sent for these. If the
-// record isn't known here, the same message contains it.
+// Nearly all announcements repeat the previous one. Forwarding the whole records of 60 endpoints
+// kept every gateway and keeper of a large cluster busy, so only a liveness report is sent for
+// these. If the record isn't known here, the same message contains it.
 void endpoint_directory::merge_remote(const schema::endpoint_pulse& pulse, instant now) {
     auto found = endpoints_.find(endpoint_id(pulse.id()));
     if (found == endpoints_.end())
@@ -131,11 +131,11 @@
     known.heard_revision = ++revision_;
 }
 
-bool endpoint_directory::any_silent_for(milliseconds silence, instant now) const {
+bool endpoint_directory::any_unresponsive_for(milliseconds timeout, instant now) const {
     const std::vector<const endpoint_state*> in_service = serving(now);
     return std::any_of(in_service.begin(), in_service.end(),
-                       [silence, now](const endpoint_state* endpoint) {
-                           return now - endpoint->last_heard > silence;
+                       [timeout, now](const endpoint_state* endpoint) {
+                           return now - endpoint->last_heard > timeout;
                        });
 }
 
@@ -158,7 +158,7 @@
 std::vector<const endpoint_state*> endpoint_directory::serving(instant now) const {
     std::vector<const endpoint_state*> out;
     for (const std::pair<const endpoint_id, endpoint_state>& known : endpoints_) {
-        if (!known.second.leaving && now - known.second.last_heard < settings_.silent_after)
+        if (!known.second.leaving && now - known.second.last_heard < settings_.unresponsive_after)
             out.push_back(&known.second);
     }
     return out;
@@ -168,7 +168,7 @@
     std::vector<schema::endpoint_record> out;
     for (const std::pair<const endpoint_id, endpoint_state>& known : endpoints_) {
         const microseconds age = now - known.second.last_heard_directly;
-        if (age >= settings_.silent_after)
+        if (age >= settings_.unresponsive_after)
             continue;
         schema::endpoint_record record = known.second.record;
         record.set_leaving(known.second.leaving);
--- a/lib/membership/entry_roster.cpp
+++ b/lib/membership/entry_roster.cpp
@@ -14,14 +14,14 @@
            a.zone() == b.zone() && a.draining() == b.draining();
 }
 
-void entry_roster::observe(const schema::entry_hello& hello, instant now) {
-    known_entry& known = entries_[hello.entry()];
-    const bool changed =
-        known.changed_revision == 0 || known.lost || !same_listed_fields(known.hello, hello);
+void entry_roster::observe(const schema::entry_hello& heartbeat, instant now) {
+    known_entry& known = entries_[heartbeat.entry()];
+    const bool changed = known.changed_revision == 0 || known.lost ||
+                         !same_listed_fields(known.heartbeat, heartbeat);
     known.last_seen = now;
     if (!changed)
         return;
-    known.hello = hello;
+    known.heartbeat = heartbeat;
     known.lost = false;
     known.changed_revision = ++revision_;
 }
@@ -29,12 +29,12 @@
 void entry_roster::mark_lost(instant now) {
     for (auto it = entries_.begin(); it != entries_.end();) {
         known_entry& known = it->second;
-        const microseconds silence = now - known.last_seen;
-        if (!known.lost && silence >= silent_after_) {
+        const microseconds since_last_seen = now - known.last_seen;
+        if (!known.lost && since_last_seen >= unresponsive_after_) {
             known.lost = true;
             known.changed_revision = ++revision_;
         }
-        if (known.lost && silence >= forget_lost_after) {
+        if (known.lost && since_last_seen >= forget_lost_after) {
             forgotten_revision_ = std::max(forgotten_revision_, known.changed_revision);
             it = entries_.erase(it);
         } else {
@@ -58,13 +58,13 @@
                 beacon.add_lost_entries(named_entry.first);
             continue;
         }
-        schema::entry_hello* hello = beacon.add_entries();
-        hello->set_entry(named_entry.first);
-        hello->set_incarnation(known.hello.incarnation());
-        hello->set_peer_address(known.hello.peer_address());
-        hello->set_zone(known.hello.zone());
-        hello->set_draining(known.hello.draining());
-        hello->set_age_ms(static_cast<std::uint32_t>(
+        schema::entry_hello* heartbeat = beacon.add_entries();
+        heartbeat->set_entry(named_entry.first);
+        heartbeat->set_incarnation(known.heartbeat.incarnation());
+        heartbeat->set_peer_address(known.heartbeat.peer_address());
+        heartbeat->set_zone(known.heartbeat.zone());
+        heartbeat->set_draining(known.heartbeat.draining());
+        heartbeat->set_age_ms(static_cast<std::uint32_t>(
             std::chrono::duration_cast<milliseconds>(now - known.last_seen).count()));
     }
 }
@@ -77,9 +77,9 @@
     revision_ = 0;
 }
 
-void roster_copy::write(schema::entry_hello& hello) const {
-    hello.set_entries_epoch(epoch_);
-    hello.set_entries_revision(revision_);
+void roster_copy::write(schema::entry_hello& heartbeat) const {
+    heartbeat.set_entries_epoch(epoch_);
+    heartbeat.set_entries_revision(revision_);
 }
 
 bool roster_copy::apply_beacon(const peer_address& keeper, const schema::keeper_beacon& beacon) {
@@ -95,9 +95,9 @@
     revision_ = beacon.entries_revision();
     if (beacon.all_entries())
         entries_.clear();
-    for (const schema::entry_hello& hello : beacon.entries()) {
-        if (hello.entry() != self_)
-            entries_[entry_id(hello.entry())] = hello;
+    for (const schema::entry_hello& heartbeat : beacon.entries()) {
+        if (heartbeat.entry() != self_)
+            entries_[entry_id(heartbeat.entry())] = heartbeat;
     }
     for (const std::string& name : beacon.lost_entries())
         entries_.erase(entry_id(name));
--- a/lib/membership/followed_keeper.cpp
+++ b/lib/membership/followed_keeper.cpp
@@ -9,10 +9,10 @@
 
 namespace {
 // The followed keeper replies four times a second.
-constexpr milliseconds followed_silent_after(800);
+constexpr milliseconds followed_reply_timeout(800);
 // The other keepers reply every two seconds.
-constexpr milliseconds other_silent_after(4500);
-// How long a keeper that fell silent while followed isn't chosen again.
+constexpr milliseconds other_reply_timeout(4500);
+// How long a keeper that became unresponsive while followed isn't chosen again.
 constexpr milliseconds avoid_failed_for(5000);
 } // namespace
 
@@ -35,9 +35,9 @@
     if (now < state.avoided_until)
         return false;
     // A keeper that was just chosen may still reply at the slower rate.
-    const bool just_chosen = keeper == current_ && now - current_since_ < followed_silent_after;
+    const bool just_chosen = keeper == current_ && now - current_since_ < followed_reply_timeout;
     const milliseconds limit =
-        keeper == current_ && !just_chosen ? followed_silent_after : other_silent_after;
+        keeper == current_ && !just_chosen ? followed_reply_timeout : other_reply_timeout;
     return now - state.last_reply < limit;
 }
 
--- a/unittests/membership/entry_roster_test.cpp
+++ b/unittests/membership/entry_roster_test.cpp
@@ -12,17 +12,17 @@
 
 namespace {
 
-constexpr milliseconds silent_after(3000);
+constexpr milliseconds unresponsive_after(3000);
 const peer_address first_keeper("10.0.0.1:1");
 const peer_address second_keeper("10.0.0.2:1");
 
-schema::entry_hello hello_of(int number, std::uint64_t incarnation = 1) {
-    schema::entry_hello hello;
-    hello.set_entry("g" + std::to_string(number));
-    hello.set_incarnation(incarnation);
-    hello.set_peer_address("10.1.0." + std::to_string(number) + ":7");
-    hello.set_zone("a");
-    return hello;
+schema::entry_hello heartbeat_of(int number, std::uint64_t incarnation = 1) {
+    schema::entry_hello heartbeat;
+    heartbeat.set_entry("g" + std::to_string(number));
+    heartbeat.set_incarnation(incarnation);
+    heartbeat.set_peer_address("10.1.0." + std::to_string(number) + ":7");
+    heartbeat.set_zone("a");
+    return heartbeat;
 }
 
 schema::keeper_beacon beacon_for(const entry_roster& roster, const roster_copy& copy, instant now) {
@@ -35,18 +35,18 @@
 
 } // namespace
 
-// Guards against sending the whole list, which grows with the fleet, whenever one entry joins or
+// Guards against sending the whole list, which grows with the cluster, whenever one entry joins or
 // leaves.
 TEST_CASE("a copy that has the list gets only the change", "[roster]") {
     instant now(std::chrono::seconds(100));
-    entry_roster roster(7, silent_after);
+    entry_roster roster(7, unresponsive_after);
     for (int i = 0; i < 250; ++i)
-        roster.observe(hello_of(i), now);
+        roster.observe(heartbeat_of(i), now);
     roster_copy copy("g0");
     copy.follow(first_keeper);
     CHECK(copy.apply_beacon(first_keeper, beacon_for(roster, copy, now)));
     CHECK(copy.entries().size() == 249);
-    roster.observe(hello_of(3, 2), now);
+    roster.observe(heartbeat_of(3, 2), now);
     const schema::keeper_beacon beacon = beacon_for(roster, copy, now);
     CHECK(beacon.entries_size() == 1);
     CHECK(copy.apply_beacon(first_keeper, beacon));
@@ -58,11 +58,11 @@
 // followed keeper doesn't list, or restore entries lost in between.
 TEST_CASE("another keeper's list replaces the copy", "[roster]") {
     instant now(std::chrono::seconds(100));
-    entry_roster first_roster(1, silent_after);
-    entry_roster second_roster(2, silent_after);
+    entry_roster first_roster(1, unresponsive_after);
+    entry_roster second_roster(2, unresponsive_after);
     for (int i = 1; i < 5; ++i)
-        first_roster.observe(hello_of(i), now);
-    second_roster.observe(hello_of(2), now);
+        first_roster.observe(heartbeat_of(i), now);
+    second_roster.observe(heartbeat_of(2), now);
     roster_copy copy("g0");
     copy.follow(first_keeper);
     copy.apply_beacon(first_keeper, beacon_for(first_roster, copy, now));
@@ -81,8 +81,8 @@
     instant now(std::chrono::seconds(100));
     std::uint64_t epoch = 1;
     std::map<peer_address, entry_roster> rosters;
-    rosters.emplace(first_keeper, entry_roster(epoch++, silent_after));
-    rosters.emplace(second_keeper, entry_roster(epoch++, silent_after));
+    rosters.emplace(first_keeper, entry_roster(epoch++, unresponsive_after));
+    rosters.emplace(second_keeper, entry_roster(epoch++, unresponsive_after));
     std::map<int, schema::entry_hello> alive;
     std::vector<std::pair<peer_address, schema::keeper_beacon>> late;
     roster_copy copy("g0");
@@ -105,7 +105,7 @@
         const int number = 1 + static_cast<int>(random() % 12);
         switch (random() % 8) {
         case 0:
-            alive[number] = hello_of(number, static_cast<std::uint64_t>(step) + 1);
+            alive[number] = heartbeat_of(number, static_cast<std::uint64_t>(step) + 1);
             break;
         case 1:
             alive.erase(number);
@@ -117,7 +117,7 @@
         case 3:
             if (random() % 20 == 0) {
                 const peer_address restarted = random() % 2 == 0 ? first_keeper : second_keeper;
-                rosters.insert_or_assign(restarted, entry_roster(epoch++, silent_after));
+                rosters.insert_or_assign(restarted, entry_roster(epoch++, unresponsive_after));
             }
             break;
         case 4:
--- a/unittests/membership/followed_keeper_test.cpp
+++ b/unittests/membership/followed_keeper_test.cpp
@@ -28,13 +28,13 @@
 
 } // namespace
 
-// Guards against beacons from another zone although a keeper of the own zone could send them.
-TEST_CASE("a keeper of the own zone is preferred", "[follow]") {
+// Guards against beacons from another zone although a keeper of its own zone could send them.
+TEST_CASE("a keeper of the entry's own zone is preferred", "[follow]") {
     CHECK(follower_of_all().choose(start) == own_zone_keeper);
 }
 
 // Guards against an entry that gets no updates because the keeper it follows has failed.
-TEST_CASE("another keeper is chosen once the followed one falls silent", "[follow]") {
+TEST_CASE("another keeper is chosen once the followed keeper is unresponsive", "[follow]") {
     followed_keeper selection = follower_of_all();
     CHECK(selection.choose(start) == own_zone_keeper);
     CHECK(selection.choose(start + milliseconds(700)) == own_zone_keeper);
--- a/unittests/membership/membership_test.cpp
+++ b/unittests/membership/membership_test.cpp
@@ -1,4 +1,4 @@
-// The endpoint directory, the entry list, and the freshness of beacons.
+// The endpoint directory, the entry list, and the freshness of quorum proofs.
 
 #include "cassia/membership/beacon_freshness.h"
 #include "cassia/membership/endpoint_directory.h"
@@ -23,8 +23,8 @@
     return built;
 }
 
-schema::entry_hello hello(const std::string& name, std::uint64_t incarnation,
-                          const std::string& zone = "a") {
+schema::entry_hello heartbeat_of(const std::string& name, std::uint64_t incarnation,
+                                 const std::string& zone = "a") {
     schema::entry_hello built;
     built.set_entry(name);
     built.set_incarnation(incarnation);
@@ -48,7 +48,7 @@
 
 // Guards against a leaving endpoint that still gets calls: an earlier announcement, which arrives
 // late by way of another entry, must not put it back into service.
-TEST_CASE("leaving overrides earlier announcements and ends with the incarnation", "[membership]") {
+TEST_CASE("a leaving endpoint stays out of service until its next incarnation", "[membership]") {
     endpoint_directory directory{endpoint_directory_settings()};
     directory.merge_announcement(record(1), start);
     directory.merge_announcement(record(1, true), start + milliseconds(100));
@@ -60,11 +60,11 @@
     CHECK(directory.serving(start + milliseconds(400))[0]->record.incarnation() == 2);
 }
 
-// Guards against gateways overloaded by announcements: in a fleet of 60 endpoints and 65 gateways,
-// every keeper sent each of 50 announcements a second in full to every gateway, which left the
-// gateways no time for callers. An announcement without a change is passed on as a pulse, which is
-// enough to keep the endpoint in service.
-TEST_CASE("an announcement without a change is passed on as a pulse", "[membership]") {
+// Guards against gateways overloaded by announcements: in a cluster of 60 endpoints and 65
+// gateways, every keeper sent each of 50 announcements a second in full to every gateway, which
+// left the gateways no time for callers. An announcement without a change is forwarded as a
+// liveness report, which is enough to keep the endpoint in service.
+TEST_CASE("an announcement without a change is forwarded as a liveness report", "[membership]") {
     endpoint_directory keeper{endpoint_directory_settings()};
     endpoint_directory gateway{endpoint_directory_settings()};
     schema::endpoint_record announcement = record(1);
@@ -89,8 +89,8 @@
     CHECK(gateway.changes() == changes);
     CHECK(gateway.serving(start + milliseconds(4100)).size() == 1);
     CHECK(gateway.serving(start + milliseconds(4200)).empty());
-    CHECK(gateway.any_silent_for(milliseconds(2000), start + milliseconds(3300)));
-    CHECK_FALSE(gateway.any_silent_for(milliseconds(2000), start + milliseconds(3200)));
+    CHECK(gateway.any_unresponsive_for(milliseconds(2000), start + milliseconds(3300)));
+    CHECK_FALSE(gateway.any_unresponsive_for(milliseconds(2000), start + milliseconds(3200)));
 
     announcement.set_sequence(3);
     announcement.set_leaving(true);
@@ -100,9 +100,9 @@
     CHECK(gateway.serving(start + milliseconds(2500)).empty());
 }
 
-// Guards against an endpoint that crashed and whose address another one now uses: a late pulse of
+// Guards against an endpoint that crashed and whose address another one now uses: a late report of
 // the first must not put it back into service.
-TEST_CASE("a pulse of an earlier incarnation is ignored", "[membership]") {
+TEST_CASE("a liveness report of an earlier incarnation is ignored", "[membership]") {
     endpoint_directory gateway{endpoint_directory_settings()};
     gateway.merge_remote(record(2), start);
     schema::endpoint_pulse late;
@@ -114,8 +114,8 @@
 }
 
 // Guards against two entries, partitioned together, that serve by an old configuration forever
-// because each takes the beacon passed on by the other as new.
-TEST_CASE("a beacon keeps its age when it is passed on", "[membership]") {
+// because each takes the quorum proof forwarded by the other as new.
+TEST_CASE("a quorum proof keeps its age when it is forwarded", "[membership]") {
     beacon_freshness freshness(milliseconds(4000));
     CHECK(freshness.is_stale(start));
     freshness.observe(1, 1, milliseconds(0), start);
@@ -129,43 +129,43 @@
     CHECK_FALSE(freshness.is_stale(start + milliseconds(7000)));
 }
 
-TEST_CASE("draining and silent entries are removed from the list", "[membership]") {
+TEST_CASE("draining and unresponsive entries get no new requests", "[membership]") {
     entry_list list(milliseconds(3000));
-    list.observe(hello("x", 1), milliseconds(0), start);
-    list.observe(hello("y", 1), milliseconds(0), start);
+    list.observe(heartbeat_of("x", 1), milliseconds(0), start);
+    list.observe(heartbeat_of("y", 1), milliseconds(0), start);
     const std::uint64_t version = list.version(start);
     CHECK(list.accepting(start).size() == 2);
-    schema::entry_hello draining = hello("x", 1);
+    schema::entry_hello draining = heartbeat_of("x", 1);
     draining.set_draining(true);
     list.observe(draining, milliseconds(0), start + milliseconds(10));
     CHECK(list.accepting(start + milliseconds(10)).size() == 1);
     CHECK(list.version(start + milliseconds(10)) > version);
-    list.observe(hello("x", 1), milliseconds(50), start + milliseconds(20));
+    list.observe(heartbeat_of("x", 1), milliseconds(50), start + milliseconds(20));
     CHECK(list.accepting(start + milliseconds(20)).size() == 1);
-    list.observe(hello("x", 2), milliseconds(0), start + milliseconds(30));
+    list.observe(heartbeat_of("x", 2), milliseconds(0), start + milliseconds(30));
     CHECK(list.accepting(start + milliseconds(30)).size() == 2);
     CHECK(list.alive(start + milliseconds(3015)).size() == 1);
 }
 
-TEST_CASE("every entry computes the same steward, and few stewards change when an entry leaves",
+TEST_CASE("every entry computes the same owner, and few owners change when an entry leaves",
           "[membership]") {
-    std::vector<schema::entry_hello> hellos;
+    std::vector<schema::entry_hello> heartbeats;
     for (int i = 0; i < 8; ++i)
-        hellos.push_back(hello("entry-" + std::to_string(i), 1, i % 2 == 0 ? "a" : "b"));
+        heartbeats.push_back(heartbeat_of("entry-" + std::to_string(i), 1, i % 2 == 0 ? "a" : "b"));
     std::vector<const schema::entry_hello*> all;
-    for (const schema::entry_hello& listed : hellos)
+    for (const schema::entry_hello& listed : heartbeats)
         all.push_back(&listed);
     const std::vector<const schema::entry_hello*> remaining(all.begin(), all.end() - 1);
     int changed = 0;
-    std::map<std::string, int> endpoints_by_steward;
+    std::map<std::string, int> endpoints_by_owner;
     for (int i = 0; i < 1000; ++i) {
         const endpoint_id endpoint("engine-" + std::to_string(i));
-        const entry_id steward = steward_of(endpoint, "b", all);
-        ++endpoints_by_steward[steward.str()];
-        changed += steward_of(endpoint, "b", remaining) == steward ? 0 : 1;
+        const entry_id owner = steward_of(endpoint, "b", all);
+        ++endpoints_by_owner[owner.str()];
+        changed += steward_of(endpoint, "b", remaining) == owner ? 0 : 1;
     }
-    CHECK(endpoints_by_steward.size() == 4);
-    for (const std::pair<const std::string, int>& count : endpoints_by_steward)
+    CHECK(endpoints_by_owner.size() == 4);
+    for (const std::pair<const std::string, int>& count : endpoints_by_owner)
         CHECK(count.second > 150);
     CHECK(changed < 350);
 }
