--- a/include/cassia/storage/error.h
+++ b/include/cassia/storage/error.h
@@ -6,7 +6,7 @@
 namespace cassia::storage {
 
 enum class errc {
-    cannot_open,  ///< the folder or a file can't be opened or created
+    cannot_open,  ///< the folder can't be created
     cannot_read,  ///< a read failed
     cannot_write, ///< a write or a sync failed: what was written may be lost
     no_space,     ///< the disk or the quota is full; the same write may be retried
--- a/include/cassia/storage/write_ahead_log.h
+++ b/include/cassia/storage/write_ahead_log.h
@@ -41,13 +41,13 @@
     write_ahead_log& operator=(const write_ahead_log&) = delete;
 
     /// Calls `on_record` for every record from `first_segment` on, in order, and truncates a torn
-    /// tail. Fails with `corrupt` if a record that had been synced is damaged, or a segment between
-    /// others is missing.
+    /// tail (a last batch that was only partly written). Fails with `corrupt` if a record that had
+    /// been synced is damaged, or a segment between others is missing.
     result<void> recover(std::uint32_t first_segment, const record_handler& on_record);
 
     /// Appends a record to the next batch. It is durable only once that batch has been written.
     position append(std::string_view payload);
-    bool has_batch() const { return !next_.bytes.empty(); }
+    bool has_batch() const { return !next_batch_.bytes.empty(); }
     /// Takes the batch of the records appended since the last call, to pass to write().
     log_batch take_batch();
     /// Writes and syncs a batch. Batches must be written in the order taken. May run on another
@@ -56,11 +56,11 @@
 
     /// Reads the payload of a record that has been written.
     result<std::string> read(const position& record);
-    /// Deletes the segments before this one; nothing may refer to them any more.
+    /// Deletes the segments before this one, which nothing may refer to any more.
     void remove_before(std::uint32_t segment);
 
     /// Segment of the next batch.
-    std::uint32_t current_segment() const { return next_.segment; }
+    std::uint32_t current_segment() const { return next_batch_.segment; }
     std::uint64_t bytes_on_disk() const;
 
 private:
@@ -71,8 +71,8 @@
     std::string folder_;
     std::uint64_t segment_bytes_;
     disk_hooks disk_;
-    log_batch next_;                       ///< batch that append() adds to
-    std::uint64_t batch_number_ = 1;       ///< of next_
+    log_batch next_batch_;                 ///< collects the records of append()
+    std::uint64_t batch_number_ = 1;       ///< number of next_batch_
     std::map<std::uint32_t, int> readers_; ///< open files, by segment
     int writer_ = -1;                      ///< file being written; used by write() only
     std::uint32_t writer_segment_ = 0;     ///< its segment; used by write() only
--- a/lib/storage/write_ahead_log.cpp
+++ b/lib/storage/write_ahead_log.cpp
@@ -25,7 +25,7 @@
 
 write_ahead_log::write_ahead_log(std::string folder, std::uint64_t segment_bytes, disk_hooks disk)
     : folder_(std::move(folder)), segment_bytes_(segment_bytes), disk_(std::move(disk)) {
-    next_.segment = 1;
+    next_batch_.segment = 1;
 }
 
 write_ahead_log::~write_ahead_log() {
@@ -54,7 +54,7 @@
                                       const record_handler& on_record) {
     const std::vector<std::uint32_t> numbers = segment_numbers(folder_);
     std::uint32_t expected = 0;
-    next_.segment = std::max(first_segment, next_.segment);
+    next_batch_.segment = std::max(first_segment, next_batch_.segment);
     for (const std::uint32_t number : numbers) {
         if (number < first_segment)
             continue;
@@ -101,8 +101,8 @@
         last_batch = frame->batch;
     }
     batch_number_ = last_batch + 1;
-    next_.segment = segment;
-    next_.offset = offset;
+    next_batch_.segment = segment;
+    next_batch_.offset = offset;
     if (offset == bytes.size())
         return success();
     if (!last || was_synced(bytes.substr(offset + 1), last_batch))
@@ -130,20 +130,20 @@
 
 position write_ahead_log::append(std::string_view payload) {
     // A new segment is started only between batches, so that one sync covers a whole batch.
-    if (next_.bytes.empty() && next_.offset >= segment_bytes_) {
-        ++next_.segment;
-        next_.offset = 0;
+    if (next_batch_.bytes.empty() && next_batch_.offset >= segment_bytes_) {
+        ++next_batch_.segment;
+        next_batch_.offset = 0;
     }
-    const position appended{next_.segment, next_.offset + next_.bytes.size()};
-    append_frame(next_.bytes, payload, batch_number_, next_.bytes.empty());
+    const position appended{next_batch_.segment, next_batch_.offset + next_batch_.bytes.size()};
+    append_frame(next_batch_.bytes, payload, batch_number_, next_batch_.bytes.empty());
     return appended;
 }
 
 log_batch write_ahead_log::take_batch() {
-    log_batch batch = std::move(next_);
-    next_.segment = batch.segment;
-    next_.offset = batch.offset + batch.bytes.size();
-    next_.bytes.clear();
+    log_batch batch = std::move(next_batch_);
+    next_batch_.segment = batch.segment;
+    next_batch_.offset = batch.offset + batch.bytes.size();
+    next_batch_.bytes.clear();
     ++batch_number_;
     return batch;
 }
@@ -157,7 +157,7 @@
         if (writer_ < 0)
             return failure(make_write_error(path, errno));
         writer_segment_ = batch.segment;
-        // Syncing the folder makes the file's name durable too.
+        // Without a sync of its folder, a new file could be missing after a power loss.
         const int folder = open(folder_.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
         const int error_number = folder < 0 ? errno : disk_.sync(folder);
         if (folder >= 0)
@@ -189,7 +189,7 @@
                 error{errc::missing, segment_path(record.segment) + ": " + std::strerror(errno)});
         found = readers_.emplace(record.segment, file).first;
     }
-    // Most records are small, so that one read gets both the header and the payload.
+    // Most records are small: one read gets both the header and the payload.
     constexpr std::size_t first_read_bytes = 16384;
     std::string bytes(first_read_bytes, '\0');
     const ssize_t count =
--- a/unittests/storage/write_ahead_log_test.cpp
+++ b/unittests/storage/write_ahead_log_test.cpp
@@ -133,7 +133,7 @@
     CHECK(read_file(path).value() == before);
 }
 
-TEST_CASE("a missing segment is reported", "[storage]") {
+TEST_CASE("recovery fails if a segment between others is missing", "[storage]") {
     temporary_folder folder;
     write_batches(folder.path(), 300, 5);
     g_unlink((folder.path() + "/log-00000002").c_str());
@@ -173,7 +173,8 @@
 }
 
 // Guards against a crash or an excessive allocation over bytes that a damaged disk returns.
-TEST_CASE("the frame decoder accepts arbitrary bytes", "[storage][fuzz]") {
+TEST_CASE("reading damaged frames neither crashes nor returns more than the given bytes",
+          "[storage][fuzz]") {
     constexpr int rounds = 20000;
     const unsigned seed = 20261203;
     INFO("seed " << seed);
