--- a/unittests/consensus/raft_rules_test.cpp
+++ b/unittests/consensus/raft_rules_test.cpp
@@ -120,7 +120,7 @@
 
 // Guards against a leader that exceeds its memory limit after a partition heals: the partitioned
 // member gets all heartbeats queued during the partition at once and rejects each, because it lacks
-// earlier entries. The leader must not answer each rejection with a megabyte of its log.
+// earlier entries. The leader must not send a megabyte of its log for each rejection.
 TEST_CASE("a leader resends entries only once after a burst of old rejections", "[consensus]") {
     raft_group group = make_member(1, 1, start);
     const instant elected_at = start + milliseconds(1500);
